--- a/hingepitch/jobs/agent.py
+++ b/hingepitch/jobs/agent.py
@@ -2,10 +2,10 @@
 hingepitch.jobs.agent
 ~~~~~~~~~~~~~~~~~~~~~
 
-The leader's side of one minion: its connection, its lease, its truth.
+The leader's agent for one minion: its connection, its lease and its runs.
 
-What the log records as running there is what should run; the agent
-starts, stops and looks until the minion agrees.
+The log records which runs should be on the minion. The agent starts runs, stops
+runs and polls until the minion matches the log.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -37,40 +37,42 @@
 
 __all__ = ["Agent"]
 
-#: Orders on their way to one minion at once; each takes a connection.
+#: Maximum number of concurrent orders to one minion; each takes a connection.
 ORDERS_AT_ONCE = 2
 
-#: Time after which an order without an answer is given up, in seconds. One that
-#: is given up too soon is only looked for.
+#: Timeout of an order, in seconds. After a timeout that was too short, a status
+#: poll settles the outcome.
 ANSWER_SECONDS = 0.4
 
-#: Replies after which it is known what became of a start that was ordered
-#: twice: any other refusal speaks for one of the two orders only.
+#: Replies that settle the outcome of a start that was ordered twice. Any other
+#: refusal applies to only one of the two orders.
 SETTLING_KINDS = frozenset((ReplyKind.DONE, ReplyKind.OTHER_LIFE, ReplyKind.FENCED))
 
-#: Pause after a stop that got no answer, and before views that are not settled
-#: are gone over again, in seconds.
+#: Pause after a stop that got no answer, and interval at which runs whose outcome
+#: is unknown are checked again, in seconds.
 RETRY_SECONDS = 0.25
 
-#: A minion that refused for want of room or health is left alone for so long.
+#: How long a minion that refused a start gets no new runs, in seconds.
 ASIDE_SECONDS = 0.5
 
 
 class Agent:
-    """Brings one life of a minion to what the log records.
+    """Reconciles one incarnation of a minion with the runs recorded in the log.
 
     `minion`
-        The life, as registered.
+        The `Minion` record of the incarnation.
     `client`
-        Has `start`, `stop`, `pace` and `look`, each with a time-out.
+        Has `start`, `stop`, `pace` and `look`, each with a timeout.
     `met_at`, `heard_at`, `beat_at`
-        When this leadership first knew the life, last had a message from it,
-        and last had a beat; on `lease_seconds`.
+        When this leadership first knew the incarnation, last received a message
+        from it, and last received a heartbeat; on `lease_seconds`.
     `silent_since`
-        When it last fell silent; 0: never.
+        When it last became unresponsive; 0 if never.
+    `lease_over_at`
+        When the lease is confirmed to have expired; on `lease_seconds`.
     `session`
-        The leadership that the agent works for: gives orders their fence and
-        takes the ends.
+        The `Session` of the leadership: supplies the fencing token of orders and
+        records the ends of runs.
     """
 
     def __init__(self, minion, client, session):
@@ -96,19 +98,18 @@
         self.is_silent = False
         self.greenlets = set()
 
-    # Life cycle.
-
     def start(self):
         """Start the greenlets of this agent.
 
-        The session watches over them: a failure ends it, so that no minion
-        stays without looks and orders unseen, and they end with it.
+        They belong to the session: they end with it, and an exception in one ends
+        the session, so that no minion goes without status polls and orders
+        unnoticed.
         """
         for loop in (self.give_orders, self.looks.run):
             self.spawn(loop)
 
     def spawn(self, function, *arguments):
-        """Run a function for as long as this agent is in service."""
+        """Run a function in a greenlet that ends with this agent."""
         self.greenlets = {one for one in self.greenlets if not one.dead}
         self.greenlets.add(self.session.spawn(function, *arguments))
 
@@ -117,27 +118,29 @@
         gevent.killall(list(self.greenlets), block=False)
         self.client.close()
 
-    # What the others ask.
-
     def note_beat(self, clock_ms):
-        """Note that the minion spoke by itself."""
+        """Note a heartbeat; `clock_ms` is the minion's clock, or None."""
         self.heard_at = self.beat_at = lease_seconds()
         if clock_ms is not None:
             self.note_clock(clock_ms)
 
     def note_clock(self, clock_ms, asked_at=None):
-        """Learn the offset between the minion's clock and ours."""
+        """Update the clock offset from a reading of the minion's clock.
+
+        `asked_at`
+            When the call was sent that the reading answers, if any.
+        """
         now = lease_seconds()
         self.clock_offset.note(clock_ms, now, asked_at)
         self.renewals.note_clock(clock_ms, now)
 
     @property
     def clock_offset_ms(self):
-        """How far the minion's clock is ahead of ours at least, or None."""
+        """Lower bound of the minion's clock minus the leader's, or None if unknown."""
         return self.clock_offset.at(lease_seconds())
 
     def may_start(self, now):
-        """Whether new runs may be placed here."""
+        """Whether new runs may be placed on this minion."""
         return (
             not self.is_gone
             and not self.is_silent
@@ -152,18 +155,18 @@
         )
 
     def has_lapsed(self, now):
-        """Whether the minion is silent and nothing runs there any more."""
+        """Whether the minion is unresponsive and its lease is confirmed expired."""
         return self.is_silent and now >= self.lease_over_at
 
     def is_starting(self, run):
-        """Whether a run recorded here has not been at work for long enough to tell."""
+        """Whether a run is too young to tell if it works, or not known here."""
         view = self.view_by_task.get(run.task)
         if view is None or view.run is not run:
             return True
         return is_starting(view, lease_seconds())
 
     def is_proven(self, run):
-        """Whether a run has been at work for so long that it is not suspected."""
+        """Whether a run has worked long enough not to be suspected of a crash."""
         view = self.view_by_task.get(run.task)
         step = self.session.step_of(run)
         if view is None or view.run is not run or step is None:
@@ -171,13 +174,11 @@
         return is_proven(view, step, lease_seconds())
 
     def set_aside(self, seconds=ASIDE_SECONDS):
-        """Place nothing here for a while."""
+        """Place no new runs on this minion for the given time."""
         self.aside_until = lease_seconds() + seconds
 
-    # Orders.
-
     def give_orders(self):
-        """Bring the minion to what is recorded, whenever that may differ."""
+        """Reconcile the minion with the recorded runs after every wake-up."""
         while not self.is_gone:
             self.adopt_records()
             for view in list(self.view_by_task.values()):
@@ -187,7 +188,7 @@
             self.wake.clear()
 
     def next_check_seconds(self):
-        """Return when to check again without a wake-up."""
+        """Return the timeout of the wait for a wake-up, or None for no timeout."""
         unsettled = any(
             view.status in (RunViewStatus.UNSURE, RunViewStatus.STOPPED)
             for view in self.view_by_task.values()
@@ -195,7 +196,7 @@
         return RETRY_SECONDS if unsettled else None
 
     def adopt_records(self):
-        """Take over the runs recorded for this life, and drop the others."""
+        """Match the views with the runs recorded for this incarnation."""
         recorded = self.session.runs_of(self.minion.id)
         for task, view in list(self.view_by_task.items()):
             if recorded.get(task) is not view.run:
@@ -206,7 +207,7 @@
                 self.view_by_task[task] = RunView(run, status)
 
     def order_if_due(self, view):
-        """Give the order that `view` needs now, if any."""
+        """Spawn the order that the run of `view` needs now, if any."""
         settled = (RunViewStatus.INHERITED, RunViewStatus.STOPPED)
         if view.is_ordering or view.status in settled:
             return
@@ -226,7 +227,7 @@
         self.spawn(self.carry_out, order, view)
 
     def carry_out(self, order, view):
-        """Give one order, when its turn has come."""
+        """Give one order once fewer than `ORDERS_AT_ONCE` are in progress."""
         try:
             with self.orders:
                 if self.session.may_order():
@@ -238,12 +239,12 @@
             self.wake.set()
 
     def drop_fresh(self, view):
-        """End a run that was recorded, but is no longer wanted."""
+        """End a run that was recorded but not ordered and is no longer wanted."""
         self.end(view, RunResult.REFUSED, EndCause.NOT_ORDERED)
 
     def order_start(self, view):
-        """Order the start of a run, and learn what became of it."""
-        # A start at a silent minion would put the end of its lease off.
+        """Order the start of a run and set its status from the reply."""
+        # A start would extend the lease of an unresponsive minion.
         order = None
         if not self.is_silent:
             order = self.session.start_order(view.run, self.lease_until_ms())
@@ -266,7 +267,7 @@
             view.answered_at = lease_seconds()
             self.looks.settle_soon()
         elif reply.kind is ReplyKind.OTHER_LIFE:
-            # Looked for until the removal of the life is recorded.
+            # Polled until the removal of the incarnation is recorded.
             view.status = RunViewStatus.UNSURE
             view.answered_at = lease_seconds()
             self.looks.wake.set()
@@ -275,11 +276,11 @@
             self.end(view, RunResult.REFUSED, EndCause.REFUSED)
 
     def ask_start(self, view, order):
-        """Order a start, and once more beside it if its answer takes too long.
+        """Order a start, and repeat the order concurrently if the reply is late.
 
-        A minion starts a run number once, however often it is ordered, so the
-        second order is the first one again. It protects the job from an order
-        whose answer gets lost, or that is carried out late.
+        Starts are idempotent: a minion starts a run number once, however often it
+        is ordered. The repetition covers an order whose reply is lost, or that is
+        carried out late.
         """
         first = gevent.spawn(self.timed, self.client.start, order)
         calls = [first]
@@ -293,7 +294,7 @@
             for call in gevent.iwait(calls):
                 if call.get().kind in SETTLING_KINDS:
                     return call.get()
-            return Reply(ReplyKind.UNSURE, detail="ordered twice, no answer")
+            return Reply(ReplyKind.UNSURE, detail="no reply to the start or its repeat")
         finally:
             gevent.killall(calls, block=False)
 
@@ -307,7 +308,7 @@
         )
 
     def timed(self, call, order):
-        """Give an order; learn from its answer how long answers take."""
+        """Give an order and record how long its reply took."""
         sent_at = lease_seconds()
         reply = call(order, ANSWER_SECONDS)
         if reply.kind not in (ReplyKind.UNSURE, ReplyKind.NOT_SENT):
@@ -315,10 +316,11 @@
         return reply
 
     def order_stop(self, view):
-        """Order the stop of a run, unless too many others went away meanwhile.
+        """Order the stop of a run unless it would exceed its disruption budget.
 
-        A stop that may have arrived is not taken back, for it may still be
-        carried out; but it is not repeated either while others are away.
+        Over budget, the evacuation is withdrawn only if no stop was sent that may
+        have arrived, for such a stop may still be carried out. It is not repeated
+        either until the budget permits it again.
         """
         if self.session.watch.exceeds_budget(view.run):
             if not view.is_stop_sent:
@@ -338,7 +340,7 @@
             gevent.sleep(RETRY_SECONDS)
 
     def order_pace(self, view, percent):
-        """Order the pace of a run; a lost order is given again by a later look."""
+        """Order the pace of a run; a later status poll repeats a lost order."""
         order = PaceOrder(view.run.task, view.run.number, percent, self.session.fence)
         reply = self.timed(self.client.pace, order)
         self.note_reply(reply)
@@ -353,10 +355,10 @@
         )
 
     def note_reply(self, reply, asked_at=None):
-        """Learn from any answer of the minion.
+        """Update the minion's reachability, incarnation, clock and fence from a reply.
 
         `asked_at`
-            When the call was sent, where that is known.
+            When the call was sent, if known.
         """
         if reply.kind in (ReplyKind.UNSURE, ReplyKind.NOT_SENT):
             self.note_silence(True)
@@ -364,9 +366,9 @@
             return
         if reply.kind is ReplyKind.OTHER_LIFE:
             self.note_silence(True)
-            # Not gone until that is recorded: nobody else would try again.
+            # The agent stays until the end is recorded: nothing else would retry.
             self.is_gone = self.session.life_is_over(
-                self.minion.id, "another life answered"
+                self.minion.id, "another incarnation answered"
             )
             return
         self.note_silence(False)
@@ -377,7 +379,7 @@
             self.session.fenced(self.minion.id)
 
     def note_silence(self, is_silent):
-        """Note whether the minion answers; log a change where something runs."""
+        """Note whether the minion is unresponsive; log a change if it has runs."""
         if is_silent != self.is_silent and self.view_by_task:
             log_event(
                 "minion_silent" if is_silent else "minion_answers",
@@ -390,19 +392,17 @@
         self.is_silent = is_silent
 
     def end(self, view, result, cause, checkpoint=""):
-        """Record that a run is over, as `cause` shows."""
+        """Record that a run has ended, with the `EndCause`."""
         run = view.run
         end = RunEnd(run.task, run.number, run.minion, result, checkpoint)
         self.session.end_runs((end,), cause)
 
-    # The lease.
-
     def lease_until_ms(self):
-        """Return until when a lease given now runs, on the minion's clock."""
+        """Return the expiry of a lease granted now, on the minion's clock."""
         now_ms = lease_seconds() * 1000 + self.clock_offset_ms
         return int(now_ms + self.session.lease_seconds * 1000)
 
     def extend_lease(self):
-        """Note that a call on its way may extend the lease."""
+        """Put off the confirmed expiry, as a call in flight may extend the lease."""
         until = lease_seconds() + self.session.lease_until_over_seconds
         self.lease_over_at = max(self.lease_over_at, until)
--- a/hingepitch/jobs/agentbook.py
+++ b/hingepitch/jobs/agentbook.py
@@ -2,7 +2,8 @@
 hingepitch.jobs.agentbook
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-The agents of one leadership: one for each life of a minion that can be called.
+Registry of the agents of one leadership: one for each incarnation of a minion
+whose address can be called.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -17,23 +18,23 @@
 
 __all__ = ["AgentBook"]
 
-#: Replies that only the life gives that was called; an unhealthy minion refuses
-#: before it looks for whom a call is.
+#: Replies that prove that the called incarnation itself answers. An unhealthy
+#: minion refuses a call before it checks which incarnation the call is for.
 PRESENT_KINDS = frozenset((ReplyKind.DONE, ReplyKind.FENCED))
 
 
 class AgentBook:
-    """Keeps the agents in step with the minions that are recorded.
+    """Reconciles the agents with the recorded minions.
 
     `session`
-        The leadership.
+        The `Session` of the leadership.
     `connect`
         Function from a `Minion` to a client for it; raises ValueError if its
         address cannot be called.
     `by_minion`
-        The agents, by life.
+        The agents, by incarnation.
     `uncallable`
-        Addresses that no client could be made for, by life.
+        Addresses that no client could be created for, by incarnation.
     """
 
     def __init__(self, session, connect):
@@ -43,7 +44,7 @@
         self.uncallable = {}
 
     def match(self):
-        """Have one agent for each life of a minion, and wake those with news."""
+        """Start and stop agents to match the table; wake those whose runs changed."""
         table = self.session.table
         for minion_id, agent in list(self.by_minion.items()):
             if minion_id not in table.minion_by_id:
@@ -59,10 +60,10 @@
         table.touched_minions.clear()
 
     def meet(self, minion):
-        """Start the agent of a minion; return None if it cannot be called.
+        """Start and return the agent of a minion; return None if it is uncallable.
 
-        Its record may come from another writer. An error here would end every
-        session of every leader, and with them all dispatching.
+        The address is not trusted, as the record may come from another writer: an
+        exception here would end every session of every leader and stop dispatch.
         """
         if self.uncallable.get(minion.id) == minion.address:
             return None
@@ -76,7 +77,7 @@
         return agent
 
     def make_client(self, minion):
-        """Return a client of a minion, or None if its address cannot be called."""
+        """Return a client for a minion, or None if its address cannot be called."""
         try:
             return self.connect(minion)
         except ValueError as error:
@@ -84,9 +85,10 @@
             return None
 
     def remove_uncallable(self, minion):
-        """End a life that still cannot be called once its lease is surely over.
+        """End an uncallable incarnation once its lease is confirmed expired.
 
-        Runs that it had before would stay recorded for good otherwise.
+        Otherwise the runs that were recorded on it earlier would stay recorded
+        forever.
         """
         while True:
             gevent.sleep(self.session.lease_until_over_seconds)
@@ -96,7 +98,7 @@
             self.session.life_is_over(minion.id, "its address cannot be called")
 
     def is_present(self, minion):
-        """Whether a life that has no agent answers a call now."""
+        """Whether an incarnation without an agent answers a call now."""
         client = self.make_client(minion) if self.session.may_order() else None
         if client is None:
             return False
@@ -107,6 +109,6 @@
         return look.reply.kind in PRESENT_KINDS
 
     def close(self):
-        """Close the connections of all agents; their loops end with the session."""
+        """Close the connections of all agents; their greenlets end with the session."""
         for agent in self.by_minion.values():
             agent.client.close()
--- a/hingepitch/jobs/answer.py
+++ b/hingepitch/jobs/answer.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.answer
 ~~~~~~~~~~~~~~~~~~~~~~
 
-How long a minion's answers take, and so how long one is waited for.
+Adaptive reply timeout of one minion, estimated from its recent reply times.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -10,27 +10,26 @@
 
 __all__ = ["AnswerTime"]
 
-#: Wait for an answer before any was seen, and the longest wait, in seconds.
-#: Source: stops were answered within 5 ms on the day looked at; where answers
-#: get lost, each second of waiting for one is a second in which no end is seen.
+#: Timeout before the first reply, and the maximum timeout, in seconds. Stops are
+#: normally answered within 5 ms; where replies get lost, no end is seen for as
+#: long as the leader waits for one.
 MOST_SECONDS = 0.4
 
-#: Shortest wait, in seconds. Source: a leader that plans a burst holds its own
-#: loop for tens of milliseconds, in which it reads no answer.
+#: Minimum timeout, in seconds. A leader that plans a burst blocks its own event
+#: loop for tens of milliseconds, in which it reads no reply.
 LEAST_SECONDS = 0.1
 
-#: Weight of a new answer in the mean and in the deviation, and the deviations
-#: beyond the mean that are waited for. Source: RFC 6298, section 2.
+#: Weights of a new sample in the mean and in the deviation, and the number of
+#: deviations beyond the mean in the timeout, from RFC 6298, section 2.
 MEAN_GAIN = 1 / 8
 DEVIATION_GAIN = 1 / 4
 DEVIATIONS = 4
 
 
 class AnswerTime:
-    """The time that the answers of one minion take, as seen lately.
+    """Moving estimate of the time that replies of one minion take.
 
-    Calls that got no answer are not counted: they say nothing about how long
-    an answer takes.
+    Calls without a reply are not counted, as they give no sample of a reply time.
     """
 
     def __init__(self):
@@ -38,7 +37,7 @@
         self.deviation = 0.0
 
     def note(self, seconds):
-        """Take an answer into account that came after `seconds`."""
+        """Add a reply that took `seconds` to the estimate."""
         if self.mean is None:
             self.mean = seconds
             self.deviation = seconds / 2
@@ -49,7 +48,7 @@
 
     @property
     def limit_seconds(self):
-        """Return after which time an answer is hardly to be expected."""
+        """Timeout after which a reply is unlikely to arrive."""
         if self.mean is None:
             return MOST_SECONDS
         expected = self.mean + DEVIATIONS * self.deviation
--- a/hingepitch/jobs/cause.py
+++ b/hingepitch/jobs/cause.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.cause
 ~~~~~~~~~~~~~~~~~~~~~
 
-How the leader knows that a run is over.
+Evidence by which the leader knows that a run has ended.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -14,12 +14,12 @@
 
 
 class EndCause(enum.Enum):
-    """What shows that a run is over.
+    """Evidence that a run has ended.
 
-    `LISTED`: the minion lists its end. `NOT_ORDERED`: its start was never
-    ordered. `REFUSED`: the minion refused its only start. `STOPPED`: a stop was
-    answered, and a look sent later does not show it. `LAPSED`: its lease is
-    surely over.
+    `LISTED`: the minion listed the end. `NOT_ORDERED`: the start was never
+    ordered. `REFUSED`: the minion refused the only start order. `STOPPED`: the
+    minion answered a stop, and a status poll sent later does not list the run.
+    `LAPSED`: the lease is confirmed to have expired.
     """
 
     LISTED = "listed"
--- a/hingepitch/jobs/client.py
+++ b/hingepitch/jobs/client.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.client
 ~~~~~~~~~~~~~~~~~~~~~~
 
-Questions from a process to the leader, within a deadline.
+Client for requests to the leader, with retries within a deadline.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -17,9 +17,10 @@
 
 __all__ = ["JobClient"]
 
+#: Pause between two attempts, in seconds.
 PAUSE_SECONDS = 0.03
 
-#: Codes after which the question has surely changed nothing.
+#: Error codes which guarantee that the request changed nothing.
 HARMLESS_CODES = frozenset(
     (
         "not_leader",
@@ -31,27 +32,27 @@
     )
 )
 
-#: Codes after which the question may have been taken.
+#: Error codes after which the request may have been applied.
 UNSURE_CODES = frozenset(("peer_failed", "lost_leadership", "storage_failed"))
 
-#: Harmless codes that another replica, or the same a little later, may not
-#: repeat.
+#: Harmless codes that are transient: another replica, or the same one a little
+#: later, may accept the request.
 PASSING_CODES = frozenset(("not_leader", "no_leader", "peer_unreachable"))
 
 RETRY_AFTER_MS = 1000
 
 
 class JobClient:
-    """Asks the leader, wherever it is.
+    """Sends requests to whichever replica leads.
 
     `group`
-        Calls to the control group.
+        Client of the control group.
     `replica`, `service`
-        The replica of this process and its service, where there is one: the
-        leader answers itself without a call.
+        The replica of this process and its `JobService`, if any. If this replica
+        leads, requests are answered locally.
 
-    Every question may be asked again: jobs and configurations carry the id
-    or version by which the log knows them.
+    All requests are safe to retry: jobs and configurations carry the id or version
+    by which the log recognizes duplicates.
     """
 
     def __init__(self, group, replica=None, service=None):
@@ -60,16 +61,17 @@
         self.service = service
 
     def ask(self, question, seconds, leaderless_seconds):
-        """Return the answer to `question`.
+        """Return the response to `question`.
 
         `seconds`
-            How long to ask again after calls that were lost.
+            How long to retry once the request may have been applied.
         `leaderless_seconds`
-            How long to ask again while there is no leader and the question
-            has surely not been taken.
+            How long to retry while no leader is available and the request has
+            certainly not been applied.
 
-        Raises `HingepitchError`: `deadline_passed` if the question may have
-        been taken, else the code of the last refusal.
+        Raises `HingepitchError`: `deadline_passed` if the request may have been
+        applied, otherwise the code of the last refusal, with `no_leader` for all
+        transient codes.
         """
         began = lease_seconds()
         may_be_taken = False
@@ -85,13 +87,13 @@
             gevent.sleep(PAUSE_SECONDS)
 
     def ask_once(self, question):
-        """Ask once, here if this replica leads, else over the group."""
+        """Send the request once: locally if this replica leads, else to the group."""
         if self.replica is not None and self.replica.is_leader:
             return self.service.answer(question)
         return msgspec.msgpack.decode(self.group.call_once("ask", encode(question)))
 
     def final(self, error, may_be_taken):
-        """Return the error that the caller is told."""
+        """Return the error to raise to the caller after the last attempt."""
         if may_be_taken and error.code in HARMLESS_CODES | UNSURE_CODES:
             return HingepitchError("deadline_passed", error.detail)
         if error.code in PASSING_CODES:
--- a/hingepitch/jobs/contact.py
+++ b/hingepitch/jobs/contact.py
@@ -2,8 +2,8 @@
 hingepitch.jobs.contact
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-What the dispatcher says to a minion and hears from it. The client that
-puts this on a wire is given by the composition root.
+Orders from the dispatcher to a minion and the minion's replies. The composition
+root supplies the client that sends them.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -30,10 +30,11 @@
 
 
 class ReplyKind(enum.Enum):
-    """What a minion said to an order.
+    """Kind of a minion's reply to an order.
 
-    `NOT_SENT` and `UNSURE` are no answers: in the first case the order has
-    surely not reached the minion, in the second it may have, or still may.
+    `NOT_SENT` and `UNSURE` stand for a missing reply. `NOT_SENT`: the order has
+    certainly not reached the minion. `UNSURE`: the outcome is unknown, as the
+    order may have reached the minion or may still do so.
     """
 
     DONE = "done"
@@ -49,7 +50,7 @@
     UNSURE = "unsure"
 
 
-#: Replies after which an order has surely changed nothing at the minion.
+#: Replies which guarantee that an order changed nothing on the minion.
 REFUSALS = frozenset(
     (
         ReplyKind.FENCED,
@@ -65,10 +66,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """The answer to an order.
+    """A minion's reply to an order.
 
     `clock_ms`
-        The minion's clock when it answered, or None.
+        The minion's clock when it replied, or None.
     """
 
     kind: ReplyKind
@@ -78,13 +79,15 @@
 
 @dataclass(frozen=True, slots=True)
 class StartOrder:
-    """Start a run.
+    """Order to start a run.
 
     `lease_until_ms`
-        On the minion's clock; all that runs there ends then unless the lease
-        is renewed.
+        Lease expiry on the minion's clock; all runs on the minion end then unless
+        the lease is renewed.
+    `fence`
+        Fencing token of the leadership that gives the order.
     `ticket`
-        Permission for this minion, where its queue needs one.
+        Permission to use this minion, if the queue of the job needs one.
     """
 
     task: TaskKey
@@ -98,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopOrder:
-    """Stop a run; a later start of it is then refused."""
+    """Order to stop a run; the minion then refuses a later start of the run."""
 
     task: TaskKey
     number: int
@@ -107,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PaceOrder:
-    """Let a run work at `percent` of its speed."""
+    """Order to let a run work at `percent` of its full speed."""
 
     task: TaskKey
     number: int
@@ -117,14 +120,15 @@
 
 @dataclass(frozen=True, slots=True)
 class LookOrder:
-    """List what runs and what ended, and renew the lease.
+    """Status poll: order to list running and ended runs and to renew the lease.
 
     `lease_until_ms`
-        On the minion's clock; None leaves the lease as it is.
+        Lease expiry on the minion's clock; None does not renew the lease.
     `ends_taken`
-        Ends up to this number are recorded and may be forgotten.
+        The ends up to this sequence number are recorded; the minion may forget
+        them.
     `wait_ms`
-        The minion may wait so long for an end before it answers.
+        Long-poll wait: how long the minion may wait for an end before it replies.
     """
 
     fence: int
@@ -134,11 +138,13 @@
 
 
 class RunningRow(NamedTuple):
-    """A run that goes on.
+    """A run in progress, as a minion lists it.
 
+    `percent`
+        Progress of the run; a long-running task is at work from 100.
     `load`
-        Tail latency in milliseconds of a task that serves, else the
-        millicores in use; a rough figure of the last half second.
+        Tail latency in milliseconds of a serving task, otherwise the millicores
+        in use; an estimate over the last half second.
     """
 
     task: TaskKey
@@ -149,7 +155,7 @@
 
 
 class EndedRun(NamedTuple):
-    """A run that ended; `sequence` rises within a life of a minion."""
+    """A run that ended; `sequence` increases within an incarnation of a minion."""
 
     sequence: int
     task: TaskKey
@@ -160,11 +166,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Look:
-    """The answer to a `LookOrder`; the lists are empty unless it is `DONE`.
+    """Result of a `LookOrder`; the lists are empty unless the reply is `DONE`.
 
     `unread_running`, `unread_ended`
-        Rows that could not be read. With one of the first kind, a run that is
-        not shown may still go on.
+        Number of rows that could not be decoded. While `unread_running` is not
+        0, a run that is not listed may still be in progress.
     """
 
     reply: Reply
--- a/hingepitch/jobs/explain.py
+++ b/hingepitch/jobs/explain.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.explain
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-Reasons for operators: why a job of a queue waits, or how it failed.
+Explanations for operators: why a job of a queue waits, or why it failed.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -15,14 +15,14 @@
 
 __all__ = ["QUEUED_JOB", "explain_queued_job"]
 
-#: The kind under which operators ask for jobs of queues.
+#: The object kind by which operators request the explanation of a queue's job.
 QUEUED_JOB = "queued-job"
 
 
 def explain_queued_job(table, job_id):
-    """Return the reasons for one job of a queue, as plain values.
+    """Return why a job of a queue waits or failed, as plain values for JSON.
 
-    Raises `HingepitchError` (`unknown_object`).
+    Raises `HingepitchError` (`unknown_object`) if the table lacks the job.
     """
     job = table.job_by_id.get(job_id)
     if job is None:
@@ -32,9 +32,9 @@
 
 
 def job_reasons(table, job):
-    """Yield why a job is where it is, one line for each reason."""
+    """Yield the reasons for the state of a job, one line for each."""
     if not job.is_open:
-        yield f"the job is {job.status.value}: {job.failure or 'no failure noted'}"
+        yield f"the job is {job.status.value}: {job.failure or 'no failure recorded'}"
         return
     for key in table.ready_steps:
         if key[0] == job.id:
@@ -44,7 +44,7 @@
 
 
 def waiting_reason(table, job, key):
-    """Return how many tasks of a step wait, and for which pool."""
+    """Return a line on how many tasks of a step wait, and for which pool."""
     _, round_number, number = key
     tasks = job.round_by_number[round_number].tasks_by_step[number]
     waiting = sum(task.status is TaskStatus.WAITING for task in tasks)
@@ -57,13 +57,13 @@
 
 
 def suspicion_reason(table, task):
-    """Return how a task is kept apart from others, and why."""
+    """Return a line on why and how a suspected task is isolated from others."""
     record = table.crashes.record(task)
     crashes = record.crashes if record else 0
     silent = table.crashes.silent_exposed[task]
     text = f"{format_task(task)}: {crashes} minions crashed under it"
     if silent:
-        text += f", {silent} more are silent"
+        text += f", {silent} more are unresponsive"
     if table.crashes.suspicion(task) is Suspicion.BARRED:
-        return f"{text}; it waits until these have spoken"
+        return f"{text}; it waits until it is known whether these crashed"
     return f"{text}; it starts apart from others"
--- a/hingepitch/jobs/fleet.py
+++ b/hingepitch/jobs/fleet.py
@@ -2,8 +2,8 @@
 hingepitch.jobs.fleet
 ~~~~~~~~~~~~~~~~~~~~~
 
-What the leader says to the platform about VMs and hears from it. The
-client that puts this on a wire is given by the composition root.
+Replies of the platform to the leader's orders on VMs, and the platform's VM
+list. The composition root supplies the client that decodes them.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -16,12 +16,12 @@
 
 
 class FleetReply(enum.Enum):
-    """What the platform said to an order.
+    """Kind of the platform's reply to an order.
 
-    `UNSURE`: no answer; it may have been carried out, or may still be.
-    `BUSY`: the VM is not up, or leaving. `NOT_IN_WAVE`: the VM is not due.
-    `UNKNOWN_VM`: there is no such VM, or it cannot be in that pool.
-    `FENCED`: a later leader gave an order for the VM.
+    `UNSURE`: no reply; the order may have been carried out, or may still be.
+    `BUSY`: the VM is not up, or is leaving. `NOT_IN_WAVE`: the VM is not due in
+    the wave. `UNKNOWN_VM`: the VM does not exist, or cannot be in that pool.
+    `FENCED`: a later leader has given an order for the VM.
     """
 
     DONE = "done"
@@ -34,7 +34,7 @@
 
 
 class VmState(enum.Enum):
-    """What a VM does, as the platform lists it."""
+    """State of a VM as the platform lists it."""
 
     UP = "up"
     MOVING = "moving"
@@ -44,12 +44,12 @@
 
 @dataclass(frozen=True, slots=True)
 class VmRow:
-    """One VM of the platform's list, which may lag.
+    """One VM in the platform's list, which may lag behind the actual state.
 
     `life`
-        The life of the minion on it, or empty.
+        The incarnation of the minion on the VM, or empty.
     `kind`
-        Its first label; VMs of one kind are alike.
+        The first label of the VM; VMs of one kind are interchangeable.
     """
 
     vm: str
@@ -65,7 +65,8 @@
     """The platform's list of VMs.
 
     `unread`
-        Entries that could not be read: a VM that is missing may be one of them.
+        Number of entries that could not be decoded. A VM that is missing from
+        `rows` may be one of them.
     """
 
     rows: tuple[VmRow, ...]
--- a/hingepitch/jobs/health.py
+++ b/hingepitch/jobs/health.py
@@ -2,8 +2,7 @@
 hingepitch.jobs.health
 ~~~~~~~~~~~~~~~~~~~~~~
 
-Evidence on how a minion does: failures of different jobs, and tasks that
-stand still.
+Health of a minion, from the failures and stalled tasks of different jobs on it.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -13,29 +12,33 @@
 
 __all__ = ["MinionHealth", "is_hung"]
 
-#: Evidence counts for so long, in seconds; then the minion is tried again.
+#: How long evidence counts, in seconds; then the minion is tried again.
 EVIDENCE_SECONDS = 10.0
 
-#: Different jobs in trouble on a minion from which it is avoided, and from
-#: which it gets nothing at all unless something has succeeded there since. One
-#: job may fail everywhere by its own fault, three hardly do.
+#: Number of different jobs in trouble on a minion from which the planner avoids it,
+#: and from which it gets no runs unless a run has succeeded there since. A single
+#: job may fail on every minion by its own fault; three at once rarely do.
 DOUBTED_FROM = 2
 SICK_FROM = 3
 
-#: A task whose progress has not moved for so long stands still, in seconds: four
-#: looks, in which also a long task that was slowed moves by a percent.
+#: Time without progress after which a task counts as stalled, in seconds. It spans
+#: four status polls, in which even a long, slowed task advances by one percent.
 HUNG_SECONDS = 2.5
 
-#: The same for a member of a gang, which stands still until all are present:
-#: longer than minions wait for the others.
+#: The same for a gang member, which makes no progress until all members are
+#: present: longer than minions wait for the other members.
 HUNG_GANG_SECONDS = 4.5
 
 
 def is_hung(row_since, looked_at, gang=False, patience=1):
-    """Whether progress seen last at `row_since` had not moved at `looked_at`.
+    """Whether a task has stalled.
 
+    `row_since`
+        When its progress last changed.
+    `looked_at`
+        When the last status poll that listed it was sent.
     `patience`
-        How many times as long as usual it may stand still.
+        Factor by which the stall timeout is extended.
     """
     limit = HUNG_GANG_SECONDS if gang else HUNG_SECONDS
     return looked_at - row_since > patience * limit
@@ -43,19 +46,19 @@
 
 @dataclass(slots=True)
 class MinionHealth:
-    """What the runs on one life of a minion tell about it.
+    """Health evidence from the runs on one incarnation of a minion.
 
     `trouble_at_by_job`
-        When a run of a job last failed or stood still here.
+        When a run of each job last failed or stalled on the minion.
     `succeeded_at`
-        When a run last succeeded here.
+        When a run last succeeded on the minion.
     """
 
     trouble_at_by_job: dict[str, float] = field(default_factory=dict)
     succeeded_at: float = 0.0
 
     def note_trouble(self, job, now):
-        """Note that a run of `job` failed or stood still."""
+        """Note that a run of `job` failed or stalled."""
         self.trouble_at_by_job[job] = now
 
     def note_success(self, now):
@@ -63,7 +66,7 @@
         self.succeeded_at = now
 
     def troubled_jobs(self, now):
-        """Return how many jobs were in trouble here lately."""
+        """Return how many jobs were in trouble within `EVIDENCE_SECONDS`."""
         fresh = {
             job: at
             for job, at in self.trouble_at_by_job.items()
@@ -73,11 +76,11 @@
         return len(fresh)
 
     def doubt(self, now):
-        """Return how much the minion is to be avoided, 0 or 1."""
+        """Return 1.0 if the planner should avoid the minion, else 0.0."""
         return float(self.troubled_jobs(now) >= DOUBTED_FROM)
 
     def is_sick(self, now):
-        """Whether the minion should get nothing for now."""
+        """Whether the minion should get no new runs for now."""
         if self.troubled_jobs(now) < SICK_FROM:
             return False
         return self.succeeded_at < max(self.trouble_at_by_job.values())
--- a/hingepitch/jobs/look.py
+++ b/hingepitch/jobs/look.py
@@ -2,8 +2,8 @@
 hingepitch.jobs.look
 ~~~~~~~~~~~~~~~~~~~~
 
-Looks at one minion: what runs there, what ended, and the lease that each
-look renews.
+Status polls of one minion: each lists the runs that go on and those that ended,
+and renews the minion's lease.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -23,54 +23,55 @@
 
 __all__ = ["UNCONFIRMED_SECONDS", "LookDesk"]
 
-#: How long a look waits while a stop is under way, in milliseconds: about as
-#: long as a stop takes.
+#: Long-poll wait while a stop is in progress, in milliseconds: about the time that
+#: a stop takes.
 STOPPING_LOOK_MS = 300
 
-#: Least time for the answer of a look beyond the wait that was asked for, in
-#: seconds. One that is given up too soon costs a new connection, and the leader
-#: itself is late while it plans a burst.
+#: Minimum timeout of a status poll beyond its long-poll wait, in seconds. A poll
+#: that times out too early costs a new connection, and the leader itself reads
+#: replies late while it plans a burst.
 ANSWER_SECONDS = 0.2
 
-#: Part of a lease that a look may wait at most. A look that never arrives is
-#: noticed when its wait is over, and the next one renews nothing: with a quarter,
-#: two in a row may be lost before the lease is over, with half not one.
+#: Maximum long-poll wait, as a fraction of the lease. A lost poll is noticed only
+#: when its wait is over, and the next one renews nothing. With a quarter, two
+#: polls in a row may be lost before the lease expires; with half, not even one.
 LEASE_PART = 1 / 4
 
-#: Pause after the second of two looks in a row that got no answer, in seconds.
+#: Pause after the second and later status polls in a row that failed, in seconds.
 RETRY_SECONDS = 0.25
 
-#: The same where nothing runs: nothing is waited for.
+#: The same on a minion without runs, where no result is pending.
 IDLE_RETRY_SECONDS = 2.0
 
-#: Pause while the leader is not confirmed and may give no orders, in seconds, so
-#: that orders that wait do not hold the processor.
+#: Pause while the leadership is not confirmed and no orders may be given, in
+#: seconds; it keeps waiting orders from busy-looping.
 UNCONFIRMED_SECONDS = 0.05
 
-#: Runs that the end of a lease does not settle: the order of their start does.
+#: Statuses of runs whose outcome is settled by the reply to their start order, not
+#: by the expiry of the lease.
 UNSETTLED_STARTS = frozenset((RunViewStatus.FRESH, RunViewStatus.ORDERED))
 
 
 class LookDesk:
-    """Looks at one life of a minion for its agent.
+    """Polls the status of one incarnation of a minion for its agent.
 
     `agent`
-        The `Agent`: its views, its client, its lease.
+        The `Agent`, with its views, client and lease.
     `wake`
-        Set when a look may be needed.
+        Set when a status poll may be needed.
     `ends_taken`, `ends_told`
-        Number of the last end that is recorded, and that the minion was told
-        to be.
+        Sequence number of the last end that is recorded, and of the last end
+        that the minion was told is recorded.
     `looked_at`
-        When the look was sent that told last what runs.
+        When the poll was sent whose list of runs is the latest.
     `taking`
-        Held while the answer of a look is taken.
+        Lock held while the result of a poll is processed.
     `is_held`
-        Whether a look is waiting at the minion.
+        Whether a long poll is in progress.
     `is_settling`
-        Whether runs in doubt are looked for beside it.
+        Whether polls for runs of unknown outcome are sent beside the long poll.
     `was_refused`
-        Whether the last look was answered, but not with what runs.
+        Whether the last poll was answered without a list of runs.
     """
 
     def __init__(self, agent):
@@ -85,7 +86,7 @@
         self.was_refused = False
 
     def run(self):
-        """Look as long as anything runs, or ended without being recorded."""
+        """Poll the minion whenever `is_needed` says that a poll is needed."""
         while not self.agent.is_gone:
             if not self.is_needed():
                 self.wake.clear()
@@ -97,7 +98,7 @@
             self.look_and_wait()
 
     def is_needed(self):
-        """Whether something is to be learnt or told by a look."""
+        """Whether a poll can bring news or has an acknowledgement to deliver."""
         if self.ends_told < self.ends_taken or self.agent.clock_offset_ms is None:
             return True
         if self.agent.is_silent:
@@ -108,10 +109,10 @@
         )
 
     def wait_ms(self):
-        """Return how long the next look may wait at the minion.
+        """Return the long-poll wait of the next poll in milliseconds.
 
-        A renewal after one that was lost does not wait: if it is lost as well,
-        that is known soon enough for others before the lease is over.
+        A renewal after a lost one does not wait: if it is lost as well, that is
+        known early enough for further renewals before the lease expires.
         """
         if not self.agent.view_by_task or self.agent.is_silent or self.is_in_doubt():
             return 0
@@ -129,10 +130,10 @@
         return min(wait_ms, int(longest * 1000))
 
     def is_in_doubt(self):
-        """Whether a run may or may not be there, so that a look settles it.
+        """Whether the outcome of a run is unknown, so that a poll must settle it.
 
-        A stopped run that was seen lists its end, which a held look tells at
-        once; one that was never seen has no end to wait for.
+        The end of a stopped run that was seen running is listed, and a long poll
+        returns it at once. A stopped run that was never seen has no end to list.
         """
         return any(
             view.status is RunViewStatus.UNSURE
@@ -141,11 +142,11 @@
         )
 
     def settle_soon(self):
-        """Look at once if a run is in doubt, also beside a look that is held.
+        """Poll at once for a run of unknown outcome, even during a long poll.
 
-        Protects a job from the wait of a look that was sent before the doubt
-        arose and cannot settle it: up to `BUSY_LOOK_MS` for each of the two
-        looks that it takes to be sure that a run is not there.
+        A long poll that was sent before the outcome became unknown cannot settle
+        it. Waiting for it would delay the job by up to `BUSY_LOOK_MS` for each of
+        the two polls needed to confirm that a run is absent.
         """
         self.wake.set()
         if self.is_held and not self.is_settling:
@@ -153,7 +154,7 @@
             self.agent.spawn(self.settle)
 
     def settle(self):
-        """Look without waiting while another look is held and a run in doubt."""
+        """Poll without wait while a long poll and an unknown outcome persist."""
         try:
             while self.is_held and self.is_in_doubt() and not self.agent.is_gone:
                 if not self.agent.session.may_order():
@@ -164,7 +165,7 @@
             self.is_settling = False
 
     def look_and_wait(self):
-        """Look, as long at the minion as its runs allow."""
+        """Send a poll with the longest wait that the runs allow."""
         wait_ms = self.wait_ms()
         self.is_held = wait_ms > 0
         try:
@@ -173,13 +174,13 @@
             self.is_held = False
 
     def look(self, wait_ms):
-        """Look, and take what the minion says."""
+        """Send a poll that waits `wait_ms` at most, and process its result."""
         sent_at = lease_seconds()
         taken = self.ends_taken
         until = renewal = None
-        # Each renewal may arrive, so each puts off the end of the lease: a
-        # minion that fell silent, or refused a look, gets none until it lists
-        # its runs again.
+        # A renewal without an answer may still arrive and extend the lease, so a
+        # minion that is unresponsive or refused a poll gets no renewals until it
+        # lists its runs again.
         is_listing = not self.agent.is_silent and not self.was_refused
         if self.agent.clock_offset_ms is not None and is_listing:
             until = self.agent.lease_until_ms()
@@ -207,10 +208,10 @@
             gevent.sleep(self.agent.session.look_pause_seconds)
 
     def take_look(self, look, sent_at, taken):
-        """Take the answer of a look, one at a time.
+        """Process the result of a poll, one result at a time.
 
-        A look that was sent before one that was taken already tells nothing
-        new about what runs, but its ends are true.
+        If the result of a poll that was sent later has been processed, the list of
+        runs is outdated and skipped; the ends are still valid.
         """
         with self.taking:
             is_news = sent_at >= self.looked_at
@@ -224,7 +225,7 @@
                 self.end_missing(look.running, sent_at)
 
     def take_rows(self, rows, now):
-        """Learn what runs; what should not run is stopped."""
+        """Update the views from the runs that a poll lists; log unrecorded runs."""
         for row in rows:
             view = self.agent.view_by_task.get(row.task)
             if view is None or view.run.number != row.number:
@@ -240,7 +241,7 @@
         self.agent.session.watch.note_rows(self.agent)
 
     def take_ends(self, ended):
-        """Record the ends of a look, then remember that they are recorded."""
+        """Record the ends that a poll lists, then advance `ends_taken`."""
         if not ended:
             return
         ends = tuple(
@@ -257,14 +258,14 @@
             self.ends_taken = max(self.ends_taken, *(one.sequence for one in ended))
 
     def mark_ended(self, ends):
-        """Note at the views that their runs ended, before that is recorded."""
+        """Mark the views of runs that ended, before the ends are recorded."""
         for end in ends:
             view = self.agent.view_by_task.get(end.task)
             if view is not None and view.run.number == end.number:
                 view.has_ended = True
 
     def log_lapse(self, ends):
-        """Log what is known of a lease that ended runs, one line for them all."""
+        """Log one line on the lease if its expiry ended any of the runs."""
         lapsed = sum(end.result is RunResult.LAPSED for end in ends)
         if lapsed:
             log_event(
@@ -275,12 +276,12 @@
             )
 
     def is_recorded(self, end):
-        """Whether the log holds the run of `end` as going on."""
+        """Whether the run of `end` is recorded as running on this incarnation."""
         run = self.agent.session.runs_of(self.agent.minion.id).get(end.task)
         return run is not None and run.number == end.number
 
     def end_missing(self, rows, sent_at):
-        """Settle the runs that a look does not show."""
+        """Update the status of recorded runs that a poll does not list."""
         shown = {(row.task, row.number) for row in rows}
         for view in list(self.agent.view_by_task.values()):
             if (view.run.task, view.run.number) in shown:
@@ -296,14 +297,14 @@
                 view.status = RunViewStatus.UNSURE
 
     def give_up_if_lapsed(self):
-        """End everything here once the lease has surely run out."""
+        """End the runs of the minion once its lease is confirmed to have expired."""
         if lease_seconds() < self.agent.lease_over_at:
             return
         ends = []
         kept = 0
-        # A stop extends no lease, answered or not, so it keeps no run: one that
-        # gets no answer is ordered again and again. An order of a start settles
-        # its run itself.
+        # A pending stop does not keep a run: stops extend no lease, and one without
+        # an answer is repeated until the run ends. A start order settles its run
+        # itself.
         for view in self.agent.view_by_task.values():
             if view.status in UNSETTLED_STARTS:
                 kept += 1
--- a/hingepitch/jobs/offset.py
+++ b/hingepitch/jobs/offset.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.offset
 ~~~~~~~~~~~~~~~~~~~~~~
 
-How far the steady clock of a minion is ahead of ours, from its messages.
+Estimate of the offset between a minion's monotonic clock and the leader's.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -10,26 +10,27 @@
 
 __all__ = ["ClockOffset"]
 
-#: What the rounding of a minion's clock to whole milliseconds may take from an
-#: answer's proof of a largest offset.
+#: Amount by which rounding the minion's clock to whole milliseconds may lower the
+#: upper bound that a reply gives.
 ROUNDING_MS = 1
 
 
 class ClockOffset:
-    """The largest offset that the messages of one life of a minion prove.
+    """Best lower bound of the clock offset of one incarnation of a minion.
 
-    A message is read after its clock was: the time that passes between makes
-    a reading too small, by seconds if a cut held the message back, and never
-    too large. So each proves a least offset, and the largest of them is the
-    nearest. A lease given by it ends on time or early, never late.
+    The offset is the minion's clock minus the leader's. A message is received some
+    time after the minion read its clock, by seconds if a network partition delayed
+    it, so a reading can only be too small. Each message thus gives a lower bound
+    of the offset, and the largest bound is the closest. A lease whose expiry is
+    computed with it expires on time or early, never late.
 
-    The answer to a call proves a largest offset too: its clock was read after
-    the call was sent. What is known above that came of a reading that was
-    wrong, and is forgotten: it would make leases outlive what is counted on.
+    The reply to a call also gives an upper bound, as the minion read its clock
+    after the call was sent. A lower bound above it came from a wrong reading and
+    is dropped, as it would let leases outlive the leader's estimate.
 
     `drift`
-        Part by which the minion's clock may be slower than ours; what was
-        proved is worth less by as much, the older it is.
+        Fraction by which the minion's clock may run slower than the leader's; the
+        bounds widen by it as they age.
     """
 
     def __init__(self, drift):
@@ -40,10 +41,11 @@
         self.most_at = 0.0
 
     def note(self, clock_ms, now, asked_at=None):
-        """Note a message that was read at `now`, in seconds of our clock.
+        """Update the bounds from a message received at `now`, in leader seconds.
 
         `asked_at`
-            When the call was sent that it answers, if it is an answer.
+            When the call was sent that the message answers; None if it is not a
+            reply.
         """
         offset_ms = clock_ms - now * 1000
         if asked_at is not None:
@@ -56,18 +58,18 @@
             self.proved_ms, self.proved_at = offset_ms, now
 
     def note_most(self, most_ms, now):
-        """Note the largest offset that an answer leaves possible."""
+        """Update the upper bound from a reply unless the known one is lower."""
         if self.most_ms is None or not self.is_impossible(most_ms, now):
             self.most_ms, self.most_at = most_ms, now
 
     def is_impossible(self, offset_ms, now):
-        """Whether answers have shown that the offset is less."""
+        """Whether `offset_ms` is above the upper bound at `now`."""
         if self.most_ms is None:
             return False
         return offset_ms > self.most_ms + self.drift * (now - self.most_at) * 1000
 
     def at(self, now):
-        """Return the offset at `now` in milliseconds; None: nothing is known."""
+        """Return the lower bound at `now` in milliseconds, or None if unknown."""
         if self.proved_ms is None:
             return None
         return self.proved_ms - self.drift * (now - self.proved_at) * 1000
--- a/hingepitch/jobs/question.py
+++ b/hingepitch/jobs/question.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.question
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-Questions to the leader and their answers, as msgpack.
+Requests to the leader and their responses, encoded as msgpack.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -35,11 +35,11 @@
 
 
 class Question(msgspec.Struct, tag=True, frozen=True):
-    """Base of all questions; `answer` is the type of the answer."""
+    """Base class of all requests; each docstring names the type of the response."""
 
 
 class GiveJob(Question, frozen=True):
-    """Accept a job into the queue for `path` at `host`; answer: None."""
+    """Accept a job into the queue for `path` at `host`; response: None."""
 
     id: str
     host: str
@@ -48,7 +48,7 @@
 
 
 class AskJob(Question, frozen=True):
-    """What became of a job; answer: the value of its `JobStatus`."""
+    """Get the status of a job; response: the value of its `JobStatus`."""
 
     id: str
     host: str
@@ -56,7 +56,7 @@
 
 
 class AskCancel(Question, frozen=True):
-    """Cancel a job; answer: None."""
+    """Cancel a job; response: None."""
 
     id: str
     host: str
@@ -64,24 +64,28 @@
 
 
 class AskPending(Question, frozen=True):
-    """How many jobs of a queue have not begun; answer: int."""
+    """Get the number of jobs in a queue that have not begun; response: int."""
 
     host: str
     path: str
 
 
 class GiveConfig(Question, frozen=True):
-    """Replace the queues by a newer configuration; answer: None."""
+    """Replace the queues by a newer configuration; response: None."""
 
     config: QueueConfig
 
 
 class AskConfig(Question, frozen=True):
-    """The configuration in force; answer: its document, or None."""
+    """Get the configuration in force; response: its document, or None."""
 
 
 class GiveWave(Question, frozen=True):
-    """Ask for the upkeep of VMs; answer: None."""
+    """Request maintenance of VMs; response: None.
+
+    `max_down`
+        Maximum number of the VMs that may be down at once.
+    """
 
     number: int
     vms: tuple[str, ...]
@@ -90,18 +94,18 @@
 
 
 class AskWave(Question, frozen=True):
-    """Whether a wave is done; answer: bool."""
+    """Get whether a wave is done; response: bool."""
 
     number: int
 
 
 class NoteBeat(Question, frozen=True):
-    """A minion's account of itself; answer: None.
+    """Heartbeat of a minion with its current record; response: None.
 
     `sequence`
-        Rises with every call of one life.
+        Increases with every call of one incarnation.
     `clock_ms`
-        Its steady clock.
+        The minion's monotonic clock, or None.
     """
 
     minion: Minion
@@ -110,13 +114,13 @@
 
 
 class NoteLeaving(Question, frozen=True):
-    """A life of a minion has ended as planned; answer: None."""
+    """Report the planned end of an incarnation of a minion; response: None."""
 
     id: str
 
 
 class JoinGroup(Question, frozen=True):
-    """A replica announces itself; answer: list of `MemberRow`."""
+    """Announce a replica to the group; response: list of `MemberRow`."""
 
     identity: str
     name: str
@@ -125,11 +129,11 @@
 
 
 class AskMembers(Question, frozen=True):
-    """The replicas of the group, of any of them; answer: list of `MemberRow`."""
+    """Get the replicas of the group from any replica; response: list of `MemberRow`."""
 
 
 class MemberRow(msgspec.Struct, frozen=True):
-    """A replica, where it takes calls, and whether it leads."""
+    """A replica, the address at which it takes calls, and whether it leads."""
 
     identity: str
     address: str
@@ -156,13 +160,13 @@
 
 
 def encode(value):
-    """Return the bytes of a question or an answer."""
+    """Return the msgpack encoding of a request or a response."""
     return ENCODER.encode(value)
 
 
 def decode_question(data):
-    """Return the question of `data`; raise `bad_request`."""
+    """Return the request decoded from `data`; raise `bad_request` if it is invalid."""
     try:
         return DECODER.decode(data)
     except (msgspec.MsgspecError, TypeError, RecursionError) as error:
-        raise HingepitchError("bad_request", f"not a question: {error}") from None
+        raise HingepitchError("bad_request", f"invalid request: {error}") from None
--- a/hingepitch/jobs/renewal.py
+++ b/hingepitch/jobs/renewal.py
@@ -2,8 +2,8 @@
 hingepitch.jobs.renewal
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-When the lease of one minion was renewed: to renew it in time, and to tell why
-one lapsed.
+History of the lease renewals of one minion: used to renew the lease in time and
+to log why it expired.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -18,9 +18,9 @@
     """A renewal that was sent; times are on `lease_seconds`.
 
     `lease_until_ms`
-        Until when it gives the lease, on the minion's clock.
+        The new lease expiry, on the minion's clock.
     `clock_age`
-        Age in seconds of the reading of that clock that it rests on.
+        Age in seconds of the last reading of that clock when it was sent.
     """
 
     sent_at: float
@@ -29,12 +29,12 @@
 
 
 class RenewalBook:
-    """The renewals of the lease of one life of a minion.
+    """Lease renewals of one incarnation of a minion.
 
     `sent`, `answered`
-        The last `Renewal` that was sent, and that got an answer; or None.
+        The last `Renewal` that was sent, and the last that was answered; or None.
     `clock_ms`, `clock_at`
-        The minion's clock as it was last read, and when that was.
+        The last reading of the minion's clock, and when it was received.
     """
 
     def __init__(self):
@@ -44,25 +44,25 @@
         self.clock_at = 0.0
 
     def note_clock(self, clock_ms, now):
-        """Note what the minion's clock showed in a message read at `now`."""
+        """Note the minion's clock from a message that was received at `now`."""
         self.clock_ms, self.clock_at = clock_ms, now
 
     def note_sent(self, lease_until_ms, now):
-        """Note and return a `Renewal` that goes out at `now`."""
+        """Note and return a `Renewal` that is sent at `now`."""
         self.sent = Renewal(now, lease_until_ms, now - self.clock_at)
         return self.sent
 
     def note_answered(self, renewal):
-        """Note that a look was answered, and the `Renewal` in it or None."""
+        """Note that the poll with `renewal` was answered; None: it had no renewal."""
         if renewal and (not self.answered or renewal.sent_at > self.answered.sent_at):
             self.answered = renewal
 
     def is_overdue(self, now, seconds):
-        """Whether no renewal was answered that was sent in the last `seconds`."""
+        """Whether no renewal sent within the last `seconds` was answered."""
         return self.answered is None or now - self.answered.sent_at > seconds
 
     def fields(self, now):
-        """Return the fields of a log line; those that are not known are left out."""
+        """Return the fields of a log line, without those that are unknown."""
         fields = {}
         if self.sent:
             fields["renewed"] = round(now - self.sent.sent_at, 2)
@@ -73,6 +73,6 @@
         return fields
 
     def given_ms(self, renewal):
-        """Return how long a renewal held, by the minion's clock as known now."""
+        """Return the lease duration that a renewal gave, by the last clock reading."""
         passed_ms = (self.clock_at - renewal.sent_at) * 1000
         return renewal.lease_until_ms - (self.clock_ms - passed_ms)
--- a/hingepitch/jobs/roster.py
+++ b/hingepitch/jobs/roster.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.roster
 ~~~~~~~~~~~~~~~~~~~~~~
 
-The beats of minions, as the leader hears them; kept in memory only.
+Heartbeats of minions as the leader receives them; kept in memory only.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -14,17 +14,19 @@
 
 
 class MinionRoster:
-    """Who spoke last, and with which sequence number.
+    """Latest heartbeat sequence number of each minion, and dispatcher callbacks.
 
+    `sequence_by_minion`
+        Sequence number of the last heartbeat, by incarnation.
     `on_beat`
-        Function of a life and its clock, called for each new beat; set by
-        the dispatcher.
+        Function of an incarnation and its clock, called for each new heartbeat;
+        set by the dispatcher.
     `on_crash`
-        Function from a life that another one on its VM has ended to the
-        `Blame`; set by the dispatcher.
+        Function from an incarnation that a newer one on its VM replaces to the
+        `Blame` for its end; set by the dispatcher.
     `is_present`
-        Function of a `Minion`: whether that life answers a call now; set by
-        the dispatcher.
+        Function of a `Minion`: whether that incarnation answers a call now; set
+        by the dispatcher.
     """
 
     def __init__(self):
@@ -34,11 +36,11 @@
         self.is_present = None
 
     def clear(self):
-        """Forget everything; another leadership begins."""
+        """Forget all sequence numbers when another leadership begins."""
         self.sequence_by_minion = {}
 
     def note(self, beat):
-        """Note a beat; return whether it is newer than the ones before."""
+        """Note a heartbeat; return whether it is newer than all earlier ones."""
         last = self.sequence_by_minion.get(beat.minion.id, -1)
         if beat.sequence <= last:
             return False
@@ -46,10 +48,10 @@
         return True
 
     def take_blame(self, life):
-        """Return the `Blame` for a life that another one on its VM has ended."""
+        """Return the `Blame` for an incarnation that a newer one replaces."""
         return self.on_crash(life) if self.on_crash is not None else NO_BLAME
 
     def tell(self, minion_id, clock_ms):
-        """Tell the dispatcher that a minion spoke."""
+        """Pass the heartbeat of a minion to the dispatcher."""
         if self.on_beat is not None:
             self.on_beat(minion_id, clock_ms)
--- a/hingepitch/jobs/runview.py
+++ b/hingepitch/jobs/runview.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.runview
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-One run as the leader's side of its minion sees it.
+The state of one run as the agent of its minion knows it.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -15,12 +15,13 @@
 
 
 class RunViewStatus(enum.Enum):
-    """What the agent knows of a run.
+    """Status of a run as its agent knows it.
 
-    `FRESH`: recorded by this leader, never ordered. `INHERITED`: recorded by
-    an earlier leader. `ORDERED`: the start is on its way. `RUNNING`: the
-    minion said so. `UNSURE`: the start got no answer, or the run is missing
-    from a look. `STOPPED`: a stop was answered.
+    `FRESH`: recorded by this leader, not ordered yet. `INHERITED`: recorded by
+    an earlier leader. `ORDERED`: the start order is in flight. `RUNNING`: the
+    minion confirmed the start or listed the run. `UNSURE`: the outcome is
+    unknown, as the start got no conclusive reply or a status poll does not list
+    the run. `STOPPED`: the minion answered a stop.
     """
 
     FRESH = "fresh"
@@ -31,7 +32,7 @@
     STOPPED = "stopped"
 
 
-#: A run in one of these goes on if a look shows it.
+#: Statuses that become `RUNNING` when a status poll lists the run.
 UNSEEN_STATUSES = frozenset(
     (RunViewStatus.INHERITED, RunViewStatus.ORDERED, RunViewStatus.UNSURE)
 )
@@ -39,21 +40,27 @@
 
 @dataclass(slots=True)
 class RunView:
-    """One run as its agent sees it.
+    """State of one run as its agent knows it; times are on `lease_seconds`.
 
+    `run`
+        The recorded run.
     `begun_at`
-        When the minion was first known to run it; 0: not yet.
+        When the minion was first known to execute the run; 0 if it is not yet.
     `answered_at`
-        When the last order for it was answered or given up; a look that was
-        sent earlier says nothing about its absence.
+        When the last order for the run was answered or timed out. A status poll
+        that was sent earlier does not prove that the run is absent.
+    `is_ordering`
+        Whether an order for the run is in progress.
     `is_stop_sent`
-        Whether a stop was sent, which may still be carried out.
+        Whether a stop was sent that may still be carried out.
     `has_ended`
-        Whether its end was listed, recorded or not.
+        Whether the minion listed the end of the run, recorded or not.
     `percent`
-        The pace that was last ordered.
+        The pace that the minion last confirmed.
     `row`
-        The last row of a look, or None.
+        The last `RunningRow` of the run, or None.
+    `row_since`
+        When the progress in `row` last changed.
     """
 
     run: object
@@ -68,5 +75,5 @@
     begun_at: float = 0.0
 
     def note_begun(self, now):
-        """Note that the minion runs it, as seen at `now`."""
+        """Note that the minion was seen to execute the run at `now`."""
         self.begun_at = self.begun_at or now
--- a/hingepitch/jobs/service.py
+++ b/hingepitch/jobs/service.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.service
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-Answers the questions of the other processes about jobs.
+The job service: answers the requests of other processes to the leader.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -32,30 +32,31 @@
 
 __all__ = ["JobService"]
 
-#: How soon a refused caller may come back, in milliseconds: about when a new
-#: leader is there.
+#: Retry delay given to a refused caller, in milliseconds: about the time until a
+#: new leader is elected.
 RETRY_AFTER_MS = 1000
 
-#: How long a read may rest on the last confirmed round instead of one of its
-#: own, in seconds; 0 would ask for a round for each read.
+#: Maximum age of the last quorum confirmation on which a read of the pending jobs
+#: may rely, in seconds; 0 would need a quorum round for each read.
 PENDING_AGE_SECONDS = 1.0
 
 
 class JobService:
-    """The leader's answers.
+    """Answers the requests that this process receives as the leader.
 
     `replica`
         The replica of this process.
     `roster`
-        Hears the beats of minions.
+        The `MinionRoster`, which receives the heartbeats of minions.
     `members`
-        Keeps the group complete.
+        Answers the requests about group members, and keeps the group complete.
     `name`
-        Name of this process, for the envelopes.
+        Name of this process, for the envelopes of commands.
     `accepting`
-        Jobs on their way into the log, as `AsyncResult` by id.
+        `AsyncResult` of each job that is being recorded in the log, by id.
     `vms_changing`
-        VMs of which a life is being asked or recorded that ends another one.
+        VMs for which a new incarnation that replaces another one is being probed
+        or recorded.
     """
 
     def __init__(self, replica, roster, members, name):
@@ -73,24 +74,24 @@
         return self.replica.state.jobs
 
     def propose(self, role, command):
-        """Put a command into the log; raise its refusal."""
+        """Propose a command for the log; raise `HingepitchError` if it is refused."""
         outcome = self.replica.propose(Envelope(role, "", self.name, command))
         if not outcome.accepted:
             raise HingepitchError(outcome.code, outcome.detail, RETRY_AFTER_MS)
 
     def confirm(self):
-        """Make sure that this replica leads and has applied all."""
+        """Confirm that this replica leads and has applied all committed entries."""
         self.replica.confirm()
         self.confirmed_at = lease_seconds()
 
     @singledispatchmethod
     def answer(self, question):
-        """Return the answer to `question`; raise `HingepitchError`."""
-        raise HingepitchError("bad_request", f"no such question: {question!r}")
+        """Return the response to `question`; raise `HingepitchError`."""
+        raise HingepitchError("bad_request", f"unknown request type: {question!r}")
 
     @answer.register
     def _(self, question: questions.GiveJob):
-        # What is applied is committed, so a known job needs no second entry.
+        # Applied entries are committed, so a known job needs no second entry.
         if question.id in self.table.job_by_id:
             return
         on_its_way = self.accepting.get(question.id)
@@ -100,11 +101,10 @@
         self.accept_once(question)
 
     def accept_once(self, question):
-        """Accept a job; whoever asks for it meanwhile gets the same answer.
+        """Accept a job; concurrent requests for the same job share the result.
 
-        Protects a loaded leader from those who wait for it: a job costs one
-        log entry, however often its entry asks again. Without it 485 jobs
-        cost 1,423 entries in ten seconds of overload.
+        A job thus costs one log entry, however often its entry retries. Without
+        this, 485 jobs cost 1,423 log entries in ten seconds of overload.
         """
         result = self.accepting[question.id] = AsyncResult()
         try:
@@ -113,7 +113,9 @@
             result.set_exception(error)
             raise
         except BaseException:
-            result.set_exception(HingepitchError("lost_leadership", "given up"))
+            result.set_exception(
+                HingepitchError("lost_leadership", "recording the job was aborted")
+            )
             raise
         else:
             result.set(None)
@@ -121,7 +123,7 @@
             del self.accepting[question.id]
 
     def accept(self, question):
-        """Put a job into the log."""
+        """Record a job in the log."""
         command = AcceptJob(
             question.id, question.host, question.path, question.spec, wall_ms()
         )
@@ -157,7 +159,7 @@
         return self.table.pending_by_place[queue.place]
 
     def need_queue(self, question):
-        """Return the queue that a question names; raise `unknown_queue`."""
+        """Return the queue of a request; raise `no_queues` or `unknown_queue`."""
         if self.table.config is None:
             raise HingepitchError("no_queues", "", RETRY_AFTER_MS)
         queue = self.table.queues.find(question.host, question.path)
@@ -222,9 +224,10 @@
             self.take_beat(minion, question)
 
     def take_over(self, minion, beat):
-        """Take the first beat of a life that ends another one, if it is present.
+        """Take the first heartbeat of an incarnation that replaces another one.
 
-        One at a time for each VM: a life whose record takes long may be over by
+        The new incarnation must answer a probe. Only one replacement per VM is in
+        progress at a time: an incarnation whose record takes long may have ended by
         then, and would end the one that came after it.
         """
         if minion.vm in self.vms_changing:
@@ -237,7 +240,7 @@
             self.vms_changing.discard(minion.vm)
 
     def take_beat(self, minion, beat):
-        """Note a beat, and record what the minion says of itself if it is new."""
+        """Note a heartbeat, and record the minion if its record has changed."""
         if not self.roster.note(beat):
             return
         if self.table.minion_by_id.get(minion.id) != minion:
@@ -253,7 +256,7 @@
         self.roster.tell(minion.id, beat.clock_ms)
 
     def register(self, minion):
-        """Record what a minion says of itself; a new life ends the one before."""
+        """Record a minion; a new incarnation ends the previous one on its VM."""
         before = self.table.life_by_vm.get(minion.vm, minion.id)
         if before != minion.id:
             self.suspect(before)
@@ -261,23 +264,23 @@
         runs = len(self.table.runs_by_minion.get(before, ()))
         self.propose(Role.DISPATCHER, RegisterMinion(minion, wall_ms()))
         if before != minion.id:
-            reason = f"{minion.id} came"
+            reason = f"{minion.id} replaced it"
             log_event("minion_removed", minion=before, reason=reason, runs=runs)
         log_given_up(self.table, before, blame)
 
     def suspect(self, life):
-        """Record what is to blame for the end of a life, before its end is."""
+        """Record the suspects for the end of an incarnation, before the end itself."""
         blame = self.roster.take_blame(life)
         if blame.exposed:
             log_crash(life, blame)
             self.propose(Role.DISPATCHER, SuspectLife(life, blame))
 
     def need_present(self, minion):
-        """Refuse a life that would end another one and does not answer itself.
+        """Raise `life_absent` unless a replacing incarnation answers a probe.
 
-        Its heartbeat may have been held back since before the other life began:
-        ended by it, the runs of the other were started a second time. A life
-        that is sound beats again, or at another replica.
+        Its heartbeat may have been delayed since before the other incarnation
+        began. Ending the other one would then start its runs a second time. A live
+        incarnation sends its heartbeat again, or to another replica.
         """
         other = self.table.life_by_vm[minion.vm]
         is_present = self.roster.is_present(minion)
@@ -287,7 +290,7 @@
         raise HingepitchError("life_absent", minion.id, RETRY_AFTER_MS)
 
     def need_pool(self, minion):
-        """Refuse a minion of a pool that the configuration does not name."""
+        """Raise `bad_object` if the configuration lacks the pool of a minion."""
         config = self.table.config
         if config is not None and config.pool(minion.pool) is None:
             raise HingepitchError("bad_object", f"no pool {minion.pool}")
--- a/hingepitch/jobs/session.py
+++ b/hingepitch/jobs/session.py
@@ -2,7 +2,8 @@
 hingepitch.jobs.session
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-The leader at work: plans, records, and lets the agents act.
+The session of one leadership: plans starts, records them in the log, and runs
+one agent for each minion.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -42,49 +43,53 @@
 
 __all__ = ["Session"]
 
-#: How often the leader confirms itself, and how old the last confirmation may be
-#: when an order goes out, in seconds: less than the six ticks of 0.1 s after a
-#: round that a quorum has answered in which no other replica can be elected.
+#: Interval at which the leader confirms its leadership with a quorum, and the
+#: maximum age of the last confirmation when an order is sent, in seconds. For six
+#: ticks of 0.1 s after a round that a quorum answered, no other replica can be
+#: elected; the maximum age stays below that.
 CONFIRM_SECONDS = 0.15
 MAX_CONFIRMED_AGE_SECONDS = 0.5
 
-#: Longest time between two planning passes while work waits, in seconds.
+#: Maximum time between two planning passes, in seconds.
 PASS_SECONDS = 0.1
 
-#: Changes within this time are planned together, in seconds; after a pass that
-#: took longer, those within the time that it took.
+#: Minimum time for which changes are collected before a planning pass, in seconds.
+#: After a pass that took longer, changes are collected for as long as it took.
 GATHER_SECONDS = 0.002
 
-#: Time between two log lines on the load of a pool, in seconds.
+#: Interval between two log lines on the load of each pool, in seconds.
 LOAD_SECONDS = 1.0
 
-#: Pause between two looks that do not wait, in seconds.
+#: Pause after a status poll that returns at once, in seconds.
 LOOK_PAUSE_SECONDS = 0.1
 
 
 class Session:
-    """One leadership: what it may order, and what it has seen.
+    """One leadership: its authority to give orders, and its volatile state.
 
     `replica`
-        The replica, which leads in the term `fence`.
+        The replica; it leads in the term `fence`.
     `connect`
         Function from a `Minion` to a client for it.
     `terms`
         A `DispatchTerms`.
     `platform`
-        Client of the platform's API of VMs, or None where there is none.
+        Client of the platform's VM API, or None without a platform.
     `adviser`
-        Client of the service that permits minions, or None.
+        Client of the service that grants permission for minions, or None.
     `metrics`
         The `Metrics` of the process.
     `has_failed`
-        Whether a fault of the program ended the session.
+        Whether an unexpected exception ended the session.
     `restarts`
-        The tasks that last and ended as soon as they were started.
+        The long-running tasks that ended right after their start.
     `suspect_waits`
-        Since when tasks wait that are to start apart from others.
+        Since when the tasks that must start in isolation have waited.
     `rack_waits`
-        Since when steps wait that want one rack, as this leadership saw it.
+        Since when the steps that need a single rack have waited under this
+        leadership.
+    `inherited`
+        Task and number of each run that an earlier leader recorded.
     """
 
     def __init__(self, replica, connect, terms, name, platform, adviser, metrics):
@@ -113,8 +118,6 @@
             (run.task, run.number) for run in self.table.run_by_task.values()
         }
 
-    # What the agents ask.
-
     @property
     def table(self):
         """The replicated job table."""
@@ -122,58 +125,58 @@
 
     @property
     def lease_seconds(self):
-        """Lease that an order gives."""
+        """Duration of the lease that an order grants."""
         return self.terms.lease_seconds
 
     @property
     def lease_until_over_seconds(self):
-        """Time until a lease given now is surely over."""
+        """Time until a lease granted now is confirmed to have expired."""
         return self.terms.lease_until_over_seconds
 
     @property
     def silence_seconds(self):
-        """A minion that was silent for longer gets no new runs."""
+        """Time without a message after which a minion gets no new runs."""
         return 3 * self.terms.beat_seconds
 
     @property
     def look_pause_seconds(self):
-        """Pause between two looks that do not wait."""
+        """Pause after a status poll that returns at once."""
         return LOOK_PAUSE_SECONDS
 
     def leads(self):
-        """Whether this session's leadership still stands, as far as known."""
+        """Whether this replica still leads in this session's term, as far as known."""
         core = self.replica.core
         return not self.is_over and self.replica.is_leader and core.term == self.fence
 
     def may_order(self):
-        """Whether no other leader can have been elected yet."""
+        """Whether a recent confirmation rules out that another leader was elected."""
         age = lease_seconds() - self.confirmed_at
         return self.leads() and age < MAX_CONFIRMED_AGE_SECONDS
 
     def runs_of(self, minion_id):
-        """Return the runs recorded on a life of a minion, by task."""
+        """Return the runs recorded on an incarnation of a minion, by task."""
         return self.table.runs_by_minion.get(minion_id, {})
 
     def first_status(self, run):
-        """Return what is known of a run that an agent meets first."""
+        """Return the initial `RunViewStatus` of a run that an agent adopts."""
         if (run.task, run.number) in self.inherited:
             return RunViewStatus.INHERITED
         return RunViewStatus.FRESH
 
     def is_wanted(self, run):
-        """Whether a run should go on."""
+        """Whether a run should continue: its job is open and it is not evacuated."""
         job = self.table.job_by_id.get(run.task.job)
         if job is None or not job.is_open:
             return False
         return (run.task, run.number) not in self.watch.evacuated
 
     def start_order(self, run, lease_until_ms):
-        """Return the order that starts `run`, or None if it must not start."""
+        """Return the `StartOrder` for `run`, or None if it must not start."""
         minion = self.table.minion_by_id.get(run.minion)
         task = self.table.task(run.task)
         if minion is None or minion.is_draining or task is None:
             return None
-        # Its room may have shrunk since this was decided.
+        # The minion's capacity may have shrunk since the run was placed.
         if self.table.taken_by_minion[run.minion].exceeds(minion):
             return None
         step_key = run.task[:3]
@@ -190,10 +193,8 @@
             ticket=ticket or "",
         )
 
-    # What the agents tell.
-
     def note_order(self, order, run, reply):
-        """Log an order and what the minion said."""
+        """Log an order and the minion's reply."""
         self.gauge.note_order(order, run, reply)
         log_event(
             "run_ordered",
@@ -213,7 +214,7 @@
         return job.spec.steps[run.task.step] if job and job.is_open else None
 
     def note_stranger(self, agent, row):
-        """Log a run that the log does not hold; its lease ends it."""
+        """Log a run on a minion that is not recorded; it ends with its lease."""
         log_event(
             "unknown_run",
             minion=agent.minion.id,
@@ -222,7 +223,7 @@
         )
 
     def end_runs(self, ends, cause):
-        """Record that runs are over, as `cause` shows; return whether committed."""
+        """Record that runs ended, with the `EndCause`; return whether committed."""
         at_ms = wall_ms()
         for end in ends:
             self.note_duration(end, at_ms)
@@ -243,7 +244,7 @@
         return True
 
     def note_restart(self, end, at_ms):
-        """Note a task that lasts and ended by itself: it starts again."""
+        """Note that a long-running task ended by itself, for its restart backoff."""
         run = self.table.run_by_task.get(end.task)
         step = run and self.step_of(run)
         if step and step.lasts and end.result in (RunResult.DONE, RunResult.FAILED):
@@ -251,9 +252,10 @@
             self.restarts.note_end(end.task, ran_seconds, lease_seconds())
 
     def note_duration(self, end, at_ms):
-        """Learn how long a task took that ran from its beginning to its end.
+        """Record the duration of a task that ran from start to end in one run.
 
-        The task of a gang's member is gone if another's end closed its round.
+        The task of a gang member is missing if the end of another member closed
+        the round.
         """
         run = self.table.run_by_task.get(end.task)
         step = run and self.step_of(run)
@@ -265,7 +267,7 @@
             self.durations.note(queue.place, step, at_ms - run.started_ms)
 
     def life_is_over(self, minion_id, reason):
-        """Record that a life of a minion is over; return whether it is."""
+        """Record that an incarnation of a minion has ended; return whether it has."""
         if minion_id not in self.table.minion_by_id:
             return True
         runs = len(self.runs_of(minion_id))
@@ -277,7 +279,7 @@
         return is_over
 
     def suspect(self, minion_id):
-        """Record what is to blame if a life of a minion has crashed."""
+        """Record the suspected tasks if an incarnation of a minion has crashed."""
         blame = self.blame(minion_id)
         if blame.exposed:
             self.gauge.note_crash(blame)
@@ -285,25 +287,25 @@
             self.propose(SuspectLife(minion_id, blame))
 
     def blame(self, minion_id):
-        """Return the `Blame` if a life is over now, unplanned."""
+        """Return the `Blame` for an incarnation that ends now without a plan."""
         agent = self.agent_by_minion.get(minion_id)
         if agent is None:
             return unseen_blame(self.table, minion_id)
         return blame_of(agent, self.agent_by_minion.values(), wall_ms())
 
     def acquit(self, minion_id):
-        """Record that a minion that was taken to have crashed answers again."""
+        """Withdraw the suspicion for a minion that answers after a presumed crash."""
         if minion_id in self.table.crashes.blame_by_life:
             self.propose(SuspectLife(minion_id, NO_BLAME))
 
     def fenced(self, minion_id):
-        """Stop giving orders: a minion has heard a later leader."""
+        """End the session: a minion has heard from a later leader."""
         log_event("session_fenced", minion=minion_id, fence=self.fence)
         self.is_over = True
         self.woken.set()
 
     def propose(self, command):
-        """Put a command into the log; return whether it is committed."""
+        """Propose a command for the log; return whether it was accepted."""
         if not self.leads():
             return False
         began = lease_seconds()
@@ -315,14 +317,12 @@
             log_event("command_refused", command=type(command).__name__, error=error)
             return False
         self.gauge.note_commit(command, lease_seconds() - began)
-        # A quorum took the command, so nobody else had been elected.
+        # A quorum accepted the command, so no other replica had been elected.
         self.confirmed_at = max(began, self.confirmed_at)
         return outcome.accepted
 
-    # The loops.
-
     def run(self):
-        """Work until the leadership has passed."""
+        """Run the planning loop until the leadership ends."""
         for loop in (self.keep_confirming, self.follow_changes, self.log_loads):
             self.spawn(loop)
         if self.upkeep.platform is not None:
@@ -343,9 +343,9 @@
             self.gauge.show_nothing()
 
     def spawn(self, function, *arguments):
-        """Run a function for as long as the session lasts; return the greenlet.
+        """Run a function in a greenlet that ends with the session; return it.
 
-        A failure ends the session: the next one starts anew from the log.
+        An exception ends the session; the next session starts from the log.
         """
         greenlet = gevent.spawn(function, *arguments)
         self.greenlets.add(greenlet)
@@ -353,15 +353,15 @@
         return greenlet
 
     def spawn_apart(self, name, function, *arguments):
-        """Run a function whose failure ends nothing else."""
+        """Run a function in a greenlet; log its exception and keep the session."""
         return self.spawn(self.attempt, name, function, *arguments)
 
     def attempt(self, name, function, *arguments):
-        """Return what a function does; None if it fails, which ends nothing else.
+        """Return the function's result; log an exception and return None.
 
-        For what stands by itself: whatever it decides is recorded before it is
-        ordered, so the next call takes up from the log. An `Agent` does not; what
-        it knows of its minion ends with the session.
+        Only for functions that record each decision before they order it, so that
+        the next call can continue from the log. An `Agent` does not qualify: its
+        knowledge of the minion is volatile and ends with the session.
         """
         try:
             return function(*arguments)
@@ -371,7 +371,7 @@
             return None
 
     def note_end(self, greenlet):
-        """Forget a greenlet; end the session if it failed."""
+        """Forget a finished greenlet; end the session if it failed."""
         self.greenlets.discard(greenlet)
         if not greenlet.successful():
             error = greenlet.exception
@@ -382,7 +382,7 @@
             self.woken.set()
 
     def keep_confirming(self):
-        """Confirm the leadership again and again, unless commits do it."""
+        """Confirm the leadership at intervals unless a commit has just done so."""
         while True:
             began = lease_seconds()
             if began - self.confirmed_at > CONFIRM_SECONDS:
@@ -398,7 +398,7 @@
             log_event("leader_unconfirmed", fence=self.fence, error=error.code)
 
     def follow_changes(self):
-        """Wake the planner and the agents at every change of the state."""
+        """Wake the planning loop, and the mover for new jobs, on every state change."""
         while True:
             self.replica.changed.wait()
             self.woken.set()
@@ -407,13 +407,13 @@
             gevent.sleep(0)
 
     def log_loads(self):
-        """Log the load of each pool, now and then."""
+        """Log the load of each pool at intervals."""
         while True:
             gevent.sleep(LOAD_SECONDS)
             self.attempt("loads", self.log_load)
 
     def log_load(self):
-        """Log the load of each pool once, and show the figures."""
+        """Log the load of each pool once and update the metrics."""
         self.gauge.note_minions(self.agent_by_minion.values(), lease_seconds())
         self.gauge.note_waiting(self.table)
         self.gauge.note_suspects(self.table.crashes)
@@ -431,11 +431,11 @@
             )
 
     def measure_pools(self):
-        """Return the `PoolLoad` of each pool now, by name."""
+        """Return the current `PoolLoad` of each pool, by name."""
         return measure_pools(self.table, wall_ms(), self.durations)
 
     def work_once(self):
-        """Keep the agents in step, open due rounds, plan, record."""
+        """Reconcile the agents, open due rounds, plan starts and record them."""
         self.agents.match()
         if not self.may_order():
             return
@@ -445,7 +445,7 @@
             return
         began = lease_seconds()
         starts, gangs = plan_starts(self.table, self.outlook())
-        # However much waits, at least half of the time is left for the rest.
+        # Planning takes at most half of the time, however much work waits.
         self.gather_seconds = max(GATHER_SECONDS, lease_seconds() - began)
         if starts or gangs:
             self.propose(StartRuns(starts, gangs, wall_ms()))
@@ -453,11 +453,11 @@
 
     @property
     def agent_by_minion(self):
-        """The agents in service, by life of a minion."""
+        """The agents in service, by incarnation of a minion."""
         return self.agents.by_minion
 
     def outlook(self):
-        """Return what the planner must know beyond the table."""
+        """Return the planner's input that is not in the job table."""
         now = lease_seconds()
         usable = {
             minion_id
@@ -484,7 +484,7 @@
         )
 
     def rack_waited_ms(self, now):
-        """Return how long the ready steps have waited that want one rack."""
+        """Return how long each ready step that needs a single rack has waited."""
         self.rack_waits = {
             key: self.rack_waits.get(key, now)
             for key in self.table.ready_steps
@@ -493,7 +493,7 @@
         return {key: (now - since) * 1000 for key, since in self.rack_waits.items()}
 
     def open_due_rounds(self):
-        """Begin the rounds whose time has come."""
+        """Open the rounds of repeated jobs that are due."""
         now_ms = wall_ms() + self.terms.early_ms
         due = []
         for job_id in self.table.repeated_jobs:
@@ -505,7 +505,7 @@
             self.propose(OpenRounds(tuple(due)))
 
     def note_beat(self, minion_id, clock_ms):
-        """Hear a minion speak by itself."""
+        """Pass the heartbeat of a minion to its agent, if it has one."""
         agent = self.agent_by_minion.get(minion_id)
         if agent is not None:
             agent.note_beat(clock_ms)
--- a/hingepitch/jobs/watch.py
+++ b/hingepitch/jobs/watch.py
@@ -2,8 +2,8 @@
 hingepitch.jobs.watch
 ~~~~~~~~~~~~~~~~~~~~~
 
-What the leader makes of the runs it sees: which stand still, which leave,
-how fast fillers work, and how the minions do.
+Decisions on runs from their status rows: stopping stalled tasks, evacuating
+runs within the disruption budget, pacing fillers and noting minion health.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -19,44 +19,43 @@
 
 __all__ = ["UPKEEP_REASON", "RunWatch"]
 
-#: How long a look waits at a minion where fillers run beside tasks that serve, in
-#: milliseconds: harm must be seen and ended within a few seconds.
+#: Long-poll wait on a minion where fillers run beside serving tasks, in
+#: milliseconds. Interference must be detected and ended within a few seconds.
 SHARED_LOOK_MS = 500
 
-#: How long a look waits where tasks run that end by themselves, in milliseconds:
-#: one whose answer is lost hides all ends for that long.
+#: Long-poll wait on a minion with tasks that end by themselves, in milliseconds. A
+#: poll whose answer is lost hides all ends for that long.
 BUSY_LOOK_MS = 600
 
-#: How long a look waits where a task that lasts has begun and is not at work
-#: yet, in milliseconds, and for how long it is looked at so often, in seconds.
-#: Until it is seen at work, no other task of its step may leave its VM.
+#: Long-poll wait on a minion where a long-running task is warming up, in
+#: milliseconds, and how long after its start this wait applies, in seconds. Until
+#: the task is seen at work, it counts against its step's disruption budget.
 WARMING_LOOK_MS = 200
 WARMING_SECONDS = 2.0
 
-#: Why a run leaves that has to keep to what may be away of its step; what leaves
-#: for another reason would end anyway.
+#: Evacuation reason that is subject to the disruption budget of the run's step. A
+#: run evacuated for another reason would end anyway.
 UPKEEP_REASON = "upkeep"
 
-
-#: From so many stops because it stood still on, a task is given twice as long
-#: each time, up to so many doublings.
+#: Number of stops for a stall after which the stall timeout of a task doubles with
+#: each further stop, and the maximum number of doublings.
 MAX_STALLS = 4
 MOST_DOUBLINGS = 5
 
-#: Tasks that stood still are remembered, the latest ones.
+#: Maximum number of stalled tasks that are remembered; the oldest are dropped.
 MAX_STALLED_TASKS = 4096
 
 
 class RunWatch:
-    """Judges the runs and the minions of one leadership.
+    """Watches the runs and minions of one leadership.
 
     `session`
-        The leadership: its table and its agents.
+        The `Session`, with its table and agents.
     `evacuated`
-        Why runs are being stopped so that they go on elsewhere, by task and
-        number.
+        The reason for each evacuation, by task and run number. An evacuated run
+        is stopped so that its task continues on another minion.
     `stalls_by_task`
-        How often a task was stopped because it stood still, the latest ones.
+        How often each recently stalled task was stopped for a stall.
     """
 
     def __init__(self, session):
@@ -65,7 +64,7 @@
         self.stalls_by_task = {}
 
     def evacuate(self, run, reason):
-        """Stop a run so that it goes on elsewhere."""
+        """Stop a run so that its task continues on another minion."""
         self.evacuated[run.task, run.number] = reason
         log_event(
             "run_evacuated",
@@ -80,7 +79,7 @@
             agent.wake.set()
 
     def may_be_away(self, run, step):
-        """Whether a lasting task may be stopped within its budget."""
+        """Whether the disruption budget of `step` lets a long-running task stop."""
         if step.max_away is None:
             return True
         if not self.is_settled():
@@ -91,18 +90,19 @@
         return away < max(1, step.max_away)
 
     def is_settled(self):
-        """Whether the stops that an earlier leader sent have been carried out.
+        """Whether all stops that an earlier leader sent have been carried out.
 
-        Until then a look shows tasks at work that are about to end.
+        Until then a status poll may list tasks as at work that are about to end.
         """
         age = lease_seconds() - self.session.started_at
         return age >= self.session.terms.lapse_seconds
 
     def exceeds_budget(self, run):
-        """Whether a stop for an upkeep must wait: others went away meanwhile.
+        """Whether a stop for maintenance would now exceed the disruption budget.
 
-        It may have waited for its turn, for the leader to be confirmed, or for
-        an answer since it was decided.
+        Other tasks of the step may have become unavailable since the decision,
+        while the stop waited for its turn, for a confirmation of the leadership or
+        for an answer.
         """
         step = self.session.step_of(run)
         if self.evacuated.get((run.task, run.number)) != UPKEEP_REASON or step is None:
@@ -110,7 +110,7 @@
         return step.lasts and not self.may_be_away(run, step)
 
     def take_back(self, run):
-        """Take a stop for an upkeep back; it is decided anew later."""
+        """Withdraw an evacuation for maintenance; it may be decided again later."""
         del self.evacuated[run.task, run.number]
         log_event(
             "evacuation_taken_back",
@@ -121,10 +121,10 @@
         )
 
     def is_at_work(self, task):
-        """Whether a lasting task is known to be at work.
+        """Whether a long-running task is known to be at work.
 
-        What a minion said before it fell silent does not count, and an end
-        counts from when it is listed, though its record takes a commit.
+        The last status of an unresponsive minion does not count. A task that was
+        listed as ended is not at work, even before its end is committed.
         """
         run = self.session.table.run_by_task.get(task)
         agent = run and self.session.agent_by_minion.get(run.minion)
@@ -139,20 +139,20 @@
         return is_running and (task, run.number) not in self.evacuated
 
     def fillers(self, agent):
-        """Return the views of the runs on a minion that only fill."""
+        """Return the views of the runs on a minion that only use spare CPU."""
         views = agent.view_by_task.values()
         steps = [(view, self.session.step_of(view.run)) for view in views]
         return [view for view, step in steps if step and step.fills_spare_cpu]
 
     def neighbours(self, agent):
-        """Yield what a look showed of the tasks that serve on a minion."""
+        """Yield a `Neighbour` for each serving task that a minion has listed."""
         for view in agent.view_by_task.values():
             step = self.session.step_of(view.run)
             if step and step.target_ms and view.row is not None:
                 yield Neighbour(view.row.load, step.target_ms)
 
     def look_wait_ms(self, agent):
-        """Return how long a look may wait for an end."""
+        """Return how long a status poll may wait for an end, in milliseconds."""
         longest = self.session.terms.look_wait_ms
         if self.has_warming(agent):
             return min(WARMING_LOOK_MS, longest)
@@ -163,7 +163,7 @@
         return longest
 
     def has_warming(self, agent):
-        """Whether a task that lasts was started lately and is not at work yet."""
+        """Whether a long-running task was started recently and is not at work yet."""
         since = lease_seconds() - WARMING_SECONDS
         for view in agent.view_by_task.values():
             is_young = view.status is RunViewStatus.RUNNING and view.answered_at > since
@@ -175,17 +175,17 @@
         return False
 
     def has_ending(self, agent):
-        """Whether a run on a minion ends by itself, if all is well."""
+        """Whether a minion has a run that normally ends by itself."""
         steps = (self.session.step_of(view.run) for view in agent.view_by_task.values())
         return any(step is not None and not step.lasts for step in steps)
 
     def note_rows(self, agent):
-        """Act on what a look showed: tasks that stand still, and fillers."""
+        """Stop stalled tasks and pace fillers after a status poll."""
         self.stop_hung(agent)
         self.pace_fillers(agent)
 
     def stop_hung(self, agent):
-        """Stop the tasks that stand still, so that they go on elsewhere."""
+        """Evacuate the stalled tasks of a minion and note its trouble."""
         for view in list(agent.view_by_task.values()):
             step = self.session.step_of(view.run)
             if view.row is None or step is None or step.lasts:
@@ -198,25 +198,25 @@
             if self.session.is_wanted(view.run):
                 self.note_stall(view.run.task)
                 agent.health.note_trouble(view.run.task.job, lease_seconds())
-                self.evacuate(view.run, "stands still")
+                self.evacuate(view.run, "no progress")
 
     def note_stall(self, task):
-        """Count that a task is stopped because it stands still."""
+        """Count a stop of a stalled task."""
         self.stalls_by_task[task] = self.stalls_by_task.pop(task, 0) + 1
         while len(self.stalls_by_task) > MAX_STALLED_TASKS:
             del self.stalls_by_task[next(iter(self.stalls_by_task))]
 
     def patience(self, task):
-        """Return how many times as long as usual a task may stand still.
+        """Return the factor by which the stall timeout of a task is extended.
 
-        One that stands still wherever it runs is stopped ever more rarely: it
-        would be started again and again, and nothing of it kept.
+        A task that stalls on every minion is stopped less and less often, as it
+        would otherwise be restarted over and over and keep no progress.
         """
         doublings = self.stalls_by_task.get(task, 0) - MAX_STALLS
         return 2 ** min(max(0, doublings), MOST_DOUBLINGS)
 
     def pace_fillers(self, agent):
-        """Pace the fillers of a minion by its tasks that serve."""
+        """Set the pace of a minion's fillers from the load of its serving tasks."""
         fillers = self.fillers(agent)
         if not fillers:
             return
@@ -227,7 +227,7 @@
                 agent.order_pace(view, percent)
 
     def note_ends(self, agent, ends):
-        """Learn from ends that a minion listed how it does."""
+        """Update the health of a minion from the ends that it listed."""
         now = lease_seconds()
         for end in ends:
             if end.result is RunResult.DONE:
@@ -236,11 +236,11 @@
                 agent.health.note_trouble(end.task.job, now)
 
     def leave_draining(self):
-        """Stop the lasting tasks on minions that drain: they would end anyway."""
+        """Evacuate long-running tasks from draining minions; they would end anyway."""
         for minion in list(self.session.table.minion_by_id.values()):
             if not minion.is_draining or minion.id not in self.session.agent_by_minion:
                 continue
             for run in list(self.session.runs_of(minion.id).values()):
                 step = self.session.step_of(run)
                 if step and step.lasts and self.session.is_wanted(run):
-                    self.evacuate(run, "the minion drains")
+                    self.evacuate(run, "the minion is draining")
