--- a/hingepitch/jobs/agent.py
+++ b/hingepitch/jobs/agent.py
@@ -53,7 +53,7 @@
 RETRY_SECONDS = 0.25
 
 #: How long a minion that refused a start gets no new runs, in seconds.
-ASIDE_SECONDS = 0.5
+PLACEMENT_PAUSE_SECONDS = 0.5
 
 
 class Agent:
@@ -90,7 +90,7 @@
         self.heard_at = 0.0
         self.beat_at = 0.0
         self.silent_since = 0.0
-        self.aside_until = 0.0
+        self.placement_paused_until = 0.0
         self.filler_percent = 100
         self.health = MinionHealth()
         self.looks = LookDesk(self)
@@ -144,7 +144,7 @@
         return (
             not self.is_gone
             and not self.is_silent
-            and now >= self.aside_until
+            and now >= self.placement_paused_until
             and not self.health.is_sick(now)
             and now - self.heard_at < self.session.silence_seconds
             and self.clock_offset_ms is not None
@@ -173,9 +173,9 @@
             return False
         return is_proven(view, step, lease_seconds())
 
-    def set_aside(self, seconds=ASIDE_SECONDS):
+    def set_aside(self, seconds=PLACEMENT_PAUSE_SECONDS):
         """Place no new runs on this minion for the given time."""
-        self.aside_until = lease_seconds() + seconds
+        self.placement_paused_until = lease_seconds() + seconds
 
     def give_orders(self):
         """Reconcile the minion with the recorded runs after every wake-up."""
@@ -203,7 +203,7 @@
                 del self.view_by_task[task]
         for task, run in recorded.items():
             if task not in self.view_by_task:
-                status = self.session.first_status(run)
+                status = self.session.initial_status(run)
                 self.view_by_task[task] = RunView(run, status)
 
     def order_if_due(self, view):
@@ -218,7 +218,7 @@
             return
         wanted = self.session.is_wanted(view.run)
         if view.status is RunViewStatus.FRESH:
-            order = self.order_start if wanted else self.drop_fresh
+            order = self.order_start if wanted else self.end_unordered
         elif view.status is RunViewStatus.UNSURE or not wanted:
             order = self.order_stop
         else:
@@ -238,7 +238,7 @@
             view.is_ordering = False
             self.wake.set()
 
-    def drop_fresh(self, view):
+    def end_unordered(self, view):
         """End a run that was recorded but not ordered and is no longer wanted."""
         self.end(view, RunResult.REFUSED, EndCause.NOT_ORDERED)
 
@@ -265,7 +265,7 @@
         elif reply.kind in (ReplyKind.UNSURE, ReplyKind.RUN_TOO_OLD):
             view.status = RunViewStatus.UNSURE
             view.answered_at = lease_seconds()
-            self.looks.settle_soon()
+            self.looks.settle_at_once()
         elif reply.kind is ReplyKind.OTHER_LIFE:
             # Polled until the removal of the incarnation is recorded.
             view.status = RunViewStatus.UNSURE
@@ -324,7 +324,7 @@
         """
         if self.session.watch.exceeds_budget(view.run):
             if not view.is_stop_sent:
-                self.session.watch.take_back(view.run)
+                self.session.watch.withdraw_evacuation(view.run)
             gevent.sleep(RETRY_SECONDS)
             return
         order = StopOrder(view.run.task, view.run.number, self.session.fence)
@@ -335,7 +335,7 @@
         if reply.kind in (ReplyKind.DONE, ReplyKind.RUN_TOO_OLD):
             view.status = RunViewStatus.STOPPED
             view.answered_at = lease_seconds()
-            self.looks.settle_soon()
+            self.looks.settle_at_once()
         else:
             gevent.sleep(RETRY_SECONDS)
 
@@ -367,7 +367,7 @@
         if reply.kind is ReplyKind.OTHER_LIFE:
             self.note_silence(True)
             # The agent stays until the end is recorded: nothing else would retry.
-            self.is_gone = self.session.life_is_over(
+            self.is_gone = self.session.end_incarnation(
                 self.minion.id, "another incarnation answered"
             )
             return
--- a/hingepitch/jobs/agentbook.py
+++ b/hingepitch/jobs/agentbook.py
@@ -16,14 +16,14 @@
 from hingepitch.jobs.contact import LookOrder, ReplyKind
 from hingepitch.log import log_event
 
-__all__ = ["AgentBook"]
+__all__ = ["AgentRegistry"]
 
 #: Replies that prove that the called incarnation itself answers. An unhealthy
 #: minion refuses a call before it checks which incarnation the call is for.
 PRESENT_KINDS = frozenset((ReplyKind.DONE, ReplyKind.FENCED))
 
 
-class AgentBook:
+class AgentRegistry:
     """Reconciles the agents with the recorded minions.
 
     `session`
@@ -95,7 +95,7 @@
             recorded = self.session.table.minion_by_id.get(minion.id)
             if recorded is None or recorded.address != minion.address:
                 return
-            self.session.life_is_over(minion.id, "its address cannot be called")
+            self.session.end_incarnation(minion.id, "its address cannot be called")
 
     def is_present(self, minion):
         """Whether an incarnation without an agent answers a call now."""
--- a/hingepitch/jobs/answer.py
+++ b/hingepitch/jobs/answer.py
@@ -42,8 +42,8 @@
             self.mean = seconds
             self.deviation = seconds / 2
             return
-        off = abs(seconds - self.mean)
-        self.deviation += DEVIATION_GAIN * (off - self.deviation)
+        error = abs(seconds - self.mean)
+        self.deviation += DEVIATION_GAIN * (error - self.deviation)
         self.mean += MEAN_GAIN * (seconds - self.mean)
 
     @property
--- a/hingepitch/jobs/client.py
+++ b/hingepitch/jobs/client.py
@@ -21,7 +21,7 @@
 PAUSE_SECONDS = 0.03
 
 #: Error codes which guarantee that the request changed nothing.
-HARMLESS_CODES = frozenset(
+UNAPPLIED_CODES = frozenset(
     (
         "not_leader",
         "no_leader",
@@ -33,7 +33,7 @@
 )
 
 #: Error codes after which the request may have been applied.
-UNSURE_CODES = frozenset(("peer_failed", "lost_leadership", "storage_failed"))
+UNKNOWN_OUTCOME_CODES = frozenset(("peer_failed", "lost_leadership", "storage_failed"))
 
 #: Harmless codes that are transient: another replica, or the same one a little
 #: later, may accept the request.
@@ -74,16 +74,18 @@
         transient codes.
         """
         began = lease_seconds()
-        may_be_taken = False
+        may_be_applied = False
         while True:
             try:
                 return self.ask_once(question)
             except HingepitchError as error:
-                may_be_taken = may_be_taken or error.code in UNSURE_CODES
-                limit = seconds if may_be_taken else leaderless_seconds
-                passing = error.code in PASSING_CODES or error.code in UNSURE_CODES
-                if not passing or lease_seconds() - began > limit:
-                    raise self.final(error, may_be_taken) from None
+                may_be_applied = may_be_applied or error.code in UNKNOWN_OUTCOME_CODES
+                limit = seconds if may_be_applied else leaderless_seconds
+                is_transient = (
+                    error.code in PASSING_CODES or error.code in UNKNOWN_OUTCOME_CODES
+                )
+                if not is_transient or lease_seconds() - began > limit:
+                    raise self.final_error(error, may_be_applied) from None
             gevent.sleep(PAUSE_SECONDS)
 
     def ask_once(self, question):
@@ -92,9 +94,9 @@
             return self.service.answer(question)
         return msgspec.msgpack.decode(self.group.call_once("ask", encode(question)))
 
-    def final(self, error, may_be_taken):
+    def final_error(self, error, may_be_applied):
         """Return the error to raise to the caller after the last attempt."""
-        if may_be_taken and error.code in HARMLESS_CODES | UNSURE_CODES:
+        if may_be_applied and error.code in UNAPPLIED_CODES | UNKNOWN_OUTCOME_CODES:
             return HingepitchError("deadline_passed", error.detail)
         if error.code in PASSING_CODES:
             return HingepitchError("no_leader", "", RETRY_AFTER_MS)
--- a/hingepitch/jobs/health.py
+++ b/hingepitch/jobs/health.py
@@ -18,7 +18,7 @@
 #: Number of different jobs in trouble on a minion from which the planner avoids it,
 #: and from which it gets no runs unless a run has succeeded there since. A single
 #: job may fail on every minion by its own fault; three at once rarely do.
-DOUBTED_FROM = 2
+AVOIDED_FROM_JOBS = 2
 SICK_FROM = 3
 
 #: Time without progress after which a task counts as stalled, in seconds. It spans
@@ -77,7 +77,7 @@
 
     def doubt(self, now):
         """Return 1.0 if the planner should avoid the minion, else 0.0."""
-        return float(self.troubled_jobs(now) >= DOUBTED_FROM)
+        return float(self.troubled_jobs(now) >= AVOIDED_FROM_JOBS)
 
     def is_sick(self, now):
         """Whether the minion should get no new runs for now."""
--- a/hingepitch/jobs/look.py
+++ b/hingepitch/jobs/look.py
@@ -18,14 +18,14 @@
 from hingepitch.jobs.command import RunEnd
 from hingepitch.jobs.contact import LookOrder, ReplyKind
 from hingepitch.jobs.record import RunResult
-from hingepitch.jobs.runview import UNSEEN_STATUSES, RunViewStatus
+from hingepitch.jobs.runview import UNLISTED_STATUSES, RunViewStatus
 from hingepitch.log import log_event
 
 __all__ = ["UNCONFIRMED_SECONDS", "LookDesk"]
 
 #: Long-poll wait while a stop is in progress, in milliseconds: about the time that
 #: a stop takes.
-STOPPING_LOOK_MS = 300
+STOPPING_POLL_MS = 300
 
 #: Minimum timeout of a status poll beyond its long-poll wait, in seconds. A poll
 #: that times out too early costs a new connection, and the leader itself reads
@@ -59,12 +59,12 @@
         The `Agent`, with its views, client and lease.
     `wake`
         Set when a status poll may be needed.
-    `ends_taken`, `ends_told`
+    `ends_taken`, `ends_acknowledged`
         Sequence number of the last end that is recorded, and of the last end
         that the minion was told is recorded.
     `looked_at`
         When the poll was sent whose list of runs is the latest.
-    `taking`
+    `result_lock`
         Lock held while the result of a poll is processed.
     `is_held`
         Whether a long poll is in progress.
@@ -78,9 +78,9 @@
         self.agent = agent
         self.wake = Event()
         self.ends_taken = 0
-        self.ends_told = 0
+        self.ends_acknowledged = 0
         self.looked_at = 0.0
-        self.taking = BoundedSemaphore(1)
+        self.result_lock = BoundedSemaphore(1)
         self.is_held = False
         self.is_settling = False
         self.was_refused = False
@@ -95,11 +95,14 @@
             if not self.agent.session.may_order():
                 gevent.sleep(UNCONFIRMED_SECONDS)
                 continue
-            self.look_and_wait()
+            self.long_poll()
 
     def is_needed(self):
         """Whether a poll can bring news or has an acknowledgement to deliver."""
-        if self.ends_told < self.ends_taken or self.agent.clock_offset_ms is None:
+        if (
+            self.ends_acknowledged < self.ends_taken
+            or self.agent.clock_offset_ms is None
+        ):
             return True
         if self.agent.is_silent:
             return True
@@ -114,7 +117,11 @@
         A renewal after a lost one does not wait: if it is lost as well, that is
         known early enough for further renewals before the lease expires.
         """
-        if not self.agent.view_by_task or self.agent.is_silent or self.is_in_doubt():
+        if (
+            not self.agent.view_by_task
+            or self.agent.is_silent
+            or self.has_unknown_outcome()
+        ):
             return 0
         if self.was_refused:
             return 0
@@ -122,14 +129,14 @@
         if RunViewStatus.INHERITED in statuses:
             return 0
         if RunViewStatus.STOPPED in statuses:
-            return STOPPING_LOOK_MS
+            return STOPPING_POLL_MS
         longest = LEASE_PART * self.agent.session.lease_seconds
         if self.agent.renewals.is_overdue(lease_seconds(), longest + ANSWER_SECONDS):
             return 0
         wait_ms = self.agent.session.watch.look_wait_ms(self.agent)
         return min(wait_ms, int(longest * 1000))
 
-    def is_in_doubt(self):
+    def has_unknown_outcome(self):
         """Whether the outcome of a run is unknown, so that a poll must settle it.
 
         The end of a stopped run that was seen running is listed, and a long poll
@@ -141,11 +148,11 @@
             for view in self.agent.view_by_task.values()
         )
 
-    def settle_soon(self):
+    def settle_at_once(self):
         """Poll at once for a run of unknown outcome, even during a long poll.
 
         A long poll that was sent before the outcome became unknown cannot settle
-        it. Waiting for it would delay the job by up to `BUSY_LOOK_MS` for each of
+        it. Waiting for it would delay the job by up to `BUSY_POLL_MS` for each of
         the two polls needed to confirm that a run is absent.
         """
         self.wake.set()
@@ -156,7 +163,9 @@
     def settle(self):
         """Poll without wait while a long poll and an unknown outcome persist."""
         try:
-            while self.is_held and self.is_in_doubt() and not self.agent.is_gone:
+            while (
+                self.is_held and self.has_unknown_outcome() and not self.agent.is_gone
+            ):
                 if not self.agent.session.may_order():
                     gevent.sleep(UNCONFIRMED_SECONDS)
                     continue
@@ -164,7 +173,7 @@
         finally:
             self.is_settling = False
 
-    def look_and_wait(self):
+    def long_poll(self):
         """Send a poll with the longest wait that the runs allow."""
         wait_ms = self.wait_ms()
         self.is_held = wait_ms > 0
@@ -193,19 +202,19 @@
         is_done = look.reply.kind is ReplyKind.DONE
         self.was_refused = not is_done and not self.agent.is_silent
         if not is_done:
-            self.give_up_if_lapsed()
+            self.end_runs_if_expired()
             if not is_listing:
                 idle = not self.agent.view_by_task
                 gevent.sleep(IDLE_RETRY_SECONDS if idle else RETRY_SECONDS)
             return
         if wait_ms == 0:
             self.agent.answer_time.note(lease_seconds() - sent_at)
-        self.agent.session.acquit(self.agent.minion.id)
+        self.agent.session.withdraw_suspicion(self.agent.minion.id)
         self.take_look(look, sent_at, taken)
         self.agent.renewals.note_answered(renewal)
         self.agent.wake.set()
         if wait_ms == 0:
-            gevent.sleep(self.agent.session.look_pause_seconds)
+            gevent.sleep(self.agent.session.poll_pause_seconds)
 
     def take_look(self, look, sent_at, taken):
         """Process the result of a poll, one result at a time.
@@ -213,34 +222,34 @@
         If the result of a poll that was sent later has been processed, the list of
         runs is outdated and skipped; the ends are still valid.
         """
-        with self.taking:
+        with self.result_lock:
             is_news = sent_at >= self.looked_at
-            self.ends_told = max(self.ends_told, taken)
+            self.ends_acknowledged = max(self.ends_acknowledged, taken)
             if is_news:
                 self.looked_at = sent_at
-                self.take_rows(look.running, sent_at)
-            self.take_ends(look.ended)
+                self.update_running(look.running, sent_at)
+            self.record_ends(look.ended)
             self.agent.session.gauge.note_unread(look)
             if is_news and not look.unread_running:
                 self.end_missing(look.running, sent_at)
 
-    def take_rows(self, rows, now):
+    def update_running(self, rows, now):
         """Update the views from the runs that a poll lists; log unrecorded runs."""
         for row in rows:
             view = self.agent.view_by_task.get(row.task)
             if view is None or view.run.number != row.number:
-                self.agent.session.note_stranger(self.agent, row)
+                self.agent.session.log_unknown_run(self.agent, row)
                 continue
             if view.row is None or view.row.percent != row.percent:
                 view.row_since = now
             view.row = row
             view.note_begun(now)
-            if view.status in UNSEEN_STATUSES:
+            if view.status in UNLISTED_STATUSES:
                 view.status = RunViewStatus.RUNNING
                 view.answered_at = now
         self.agent.session.watch.note_rows(self.agent)
 
-    def take_ends(self, ended):
+    def record_ends(self, ended):
         """Record the ends that a poll lists, then advance `ends_taken`."""
         if not ended:
             return
@@ -253,7 +262,7 @@
         known = tuple(end for end in ends if self.is_recorded(end))
         self.mark_ended(known)
         self.agent.session.watch.note_ends(self.agent, known)
-        self.log_lapse(known)
+        self.log_lease_expiry(known)
         if not known or self.agent.session.end_runs(known, EndCause.LISTED):
             self.ends_taken = max(self.ends_taken, *(one.sequence for one in ended))
 
@@ -264,14 +273,14 @@
             if view is not None and view.run.number == end.number:
                 view.has_ended = True
 
-    def log_lapse(self, ends):
+    def log_lease_expiry(self, ends):
         """Log one line on the lease if its expiry ended any of the runs."""
-        lapsed = sum(end.result is RunResult.LAPSED for end in ends)
-        if lapsed:
+        expired_runs = sum(end.result is RunResult.LAPSED for end in ends)
+        if expired_runs:
             log_event(
                 "run_lease_lapsed",
                 minion=self.agent.minion.id,
-                runs=lapsed,
+                runs=expired_runs,
                 **self.agent.renewals.fields(lease_seconds()),
             )
 
@@ -296,7 +305,7 @@
             elif view.status is RunViewStatus.RUNNING and sent_at > view.answered_at:
                 view.status = RunViewStatus.UNSURE
 
-    def give_up_if_lapsed(self):
+    def end_runs_if_expired(self):
         """End the runs of the minion once its lease is confirmed to have expired."""
         if lease_seconds() < self.agent.lease_over_at:
             return
--- a/hingepitch/jobs/offset.py
+++ b/hingepitch/jobs/offset.py
@@ -35,10 +35,10 @@
 
     def __init__(self, drift):
         self.drift = drift
-        self.proved_ms = None
-        self.proved_at = 0.0
-        self.most_ms = None
-        self.most_at = 0.0
+        self.lower_ms = None
+        self.lower_at = 0.0
+        self.upper_ms = None
+        self.upper_at = 0.0
 
     def note(self, clock_ms, now, asked_at=None):
         """Update the bounds from a message received at `now`, in leader seconds.
@@ -49,27 +49,27 @@
         """
         offset_ms = clock_ms - now * 1000
         if asked_at is not None:
-            self.note_most(clock_ms - asked_at * 1000 + ROUNDING_MS, now)
-        elif self.is_impossible(offset_ms, now):
+            self.note_upper_bound(clock_ms - asked_at * 1000 + ROUNDING_MS, now)
+        elif self.exceeds_upper_bound(offset_ms, now):
             return
         known_ms = self.at(now)
-        is_wrong = known_ms is not None and self.is_impossible(known_ms, now)
+        is_wrong = known_ms is not None and self.exceeds_upper_bound(known_ms, now)
         if known_ms is None or is_wrong or offset_ms >= known_ms:
-            self.proved_ms, self.proved_at = offset_ms, now
+            self.lower_ms, self.lower_at = offset_ms, now
 
-    def note_most(self, most_ms, now):
+    def note_upper_bound(self, upper_ms, now):
         """Update the upper bound from a reply unless the known one is lower."""
-        if self.most_ms is None or not self.is_impossible(most_ms, now):
-            self.most_ms, self.most_at = most_ms, now
+        if self.upper_ms is None or not self.exceeds_upper_bound(upper_ms, now):
+            self.upper_ms, self.upper_at = upper_ms, now
 
-    def is_impossible(self, offset_ms, now):
+    def exceeds_upper_bound(self, offset_ms, now):
         """Whether `offset_ms` is above the upper bound at `now`."""
-        if self.most_ms is None:
+        if self.upper_ms is None:
             return False
-        return offset_ms > self.most_ms + self.drift * (now - self.most_at) * 1000
+        return offset_ms > self.upper_ms + self.drift * (now - self.upper_at) * 1000
 
     def at(self, now):
         """Return the lower bound at `now` in milliseconds, or None if unknown."""
-        if self.proved_ms is None:
+        if self.lower_ms is None:
             return None
-        return self.proved_ms - self.drift * (now - self.proved_at) * 1000
+        return self.lower_ms - self.drift * (now - self.lower_at) * 1000
--- a/hingepitch/jobs/question.py
+++ b/hingepitch/jobs/question.py
@@ -140,7 +140,7 @@
     is_leader: bool
 
 
-QUESTIONS = (
+REQUESTS = (
     GiveJob
     | AskJob
     | AskCancel
@@ -155,7 +155,7 @@
     | AskMembers
 )
 
-DECODER = msgspec.msgpack.Decoder(QUESTIONS)
+DECODER = msgspec.msgpack.Decoder(REQUESTS)
 ENCODER = msgspec.msgpack.Encoder()
 
 
--- a/hingepitch/jobs/roster.py
+++ b/hingepitch/jobs/roster.py
@@ -39,19 +39,19 @@
         """Forget all sequence numbers when another leadership begins."""
         self.sequence_by_minion = {}
 
-    def note(self, beat):
+    def note(self, heartbeat):
         """Note a heartbeat; return whether it is newer than all earlier ones."""
-        last = self.sequence_by_minion.get(beat.minion.id, -1)
-        if beat.sequence <= last:
+        last = self.sequence_by_minion.get(heartbeat.minion.id, -1)
+        if heartbeat.sequence <= last:
             return False
-        self.sequence_by_minion[beat.minion.id] = beat.sequence
+        self.sequence_by_minion[heartbeat.minion.id] = heartbeat.sequence
         return True
 
     def take_blame(self, life):
         """Return the `Blame` for an incarnation that a newer one replaces."""
         return self.on_crash(life) if self.on_crash is not None else NO_BLAME
 
-    def tell(self, minion_id, clock_ms):
+    def pass_heartbeat(self, minion_id, clock_ms):
         """Pass the heartbeat of a minion to the dispatcher."""
         if self.on_beat is not None:
             self.on_beat(minion_id, clock_ms)
--- a/hingepitch/jobs/runview.py
+++ b/hingepitch/jobs/runview.py
@@ -11,7 +11,7 @@
 import enum
 from dataclasses import dataclass
 
-__all__ = ["UNSEEN_STATUSES", "RunView", "RunViewStatus"]
+__all__ = ["UNLISTED_STATUSES", "RunView", "RunViewStatus"]
 
 
 class RunViewStatus(enum.Enum):
@@ -33,7 +33,7 @@
 
 
 #: Statuses that become `RUNNING` when a status poll lists the run.
-UNSEEN_STATUSES = frozenset(
+UNLISTED_STATUSES = frozenset(
     (RunViewStatus.INHERITED, RunViewStatus.ORDERED, RunViewStatus.UNSURE)
 )
 
--- a/hingepitch/jobs/service.py
+++ b/hingepitch/jobs/service.py
@@ -38,7 +38,7 @@
 
 #: Maximum age of the last quorum confirmation on which a read of the pending jobs
 #: may rely, in seconds; 0 would need a quorum round for each read.
-PENDING_AGE_SECONDS = 1.0
+MAX_CONFIRMATION_AGE_SECONDS = 1.0
 
 
 class JobService:
@@ -142,7 +142,7 @@
         self.confirm()
         job = self.table.job_by_id.get(question.id)
         if job is None:
-            self.need_queue(question)
+            self.require_queue(question)
             raise HingepitchError("unknown_job", question.id)
         return job.status.value
 
@@ -153,12 +153,12 @@
 
     @answer.register
     def _(self, question: questions.AskPending):
-        if lease_seconds() - self.confirmed_at > PENDING_AGE_SECONDS:
+        if lease_seconds() - self.confirmed_at > MAX_CONFIRMATION_AGE_SECONDS:
             self.confirm()
-        queue = self.need_queue(question)
+        queue = self.require_queue(question)
         return self.table.pending_by_place[queue.place]
 
-    def need_queue(self, question):
+    def require_queue(self, question):
         """Return the queue of a request; raise `no_queues` or `unknown_queue`."""
         if self.table.config is None:
             raise HingepitchError("no_queues", "", RETRY_AFTER_MS)
@@ -217,13 +217,13 @@
         if known is not None and minion.sequence < known.sequence:
             return
         if known is None or known.pool != minion.pool:
-            self.need_pool(minion)
+            self.require_pool(minion)
         if known is None and minion.vm in self.table.life_by_vm:
-            self.take_over(minion, question)
+            self.replace_incarnation(minion, question)
         else:
-            self.take_beat(minion, question)
+            self.accept_heartbeat(minion, question)
 
-    def take_over(self, minion, beat):
+    def replace_incarnation(self, minion, heartbeat):
         """Take the first heartbeat of an incarnation that replaces another one.
 
         The new incarnation must answer a probe. Only one replacement per VM is in
@@ -234,14 +234,14 @@
             raise HingepitchError("life_absent", minion.id, RETRY_AFTER_MS)
         self.vms_changing.add(minion.vm)
         try:
-            self.need_present(minion)
-            self.take_beat(minion, beat)
+            self.require_present(minion)
+            self.accept_heartbeat(minion, heartbeat)
         finally:
             self.vms_changing.discard(minion.vm)
 
-    def take_beat(self, minion, beat):
+    def accept_heartbeat(self, minion, heartbeat):
         """Note a heartbeat, and record the minion if its record has changed."""
-        if not self.roster.note(beat):
+        if not self.roster.note(heartbeat):
             return
         if self.table.minion_by_id.get(minion.id) != minion:
             self.register(minion)
@@ -251,9 +251,9 @@
                 vm=minion.vm,
                 pool=minion.pool,
                 draining=minion.is_draining,
-                sequence=beat.sequence,
+                sequence=heartbeat.sequence,
             )
-        self.roster.tell(minion.id, beat.clock_ms)
+        self.roster.pass_heartbeat(minion.id, heartbeat.clock_ms)
 
     def register(self, minion):
         """Record a minion; a new incarnation ends the previous one on its VM."""
@@ -275,7 +275,7 @@
             log_crash(life, blame)
             self.propose(Role.DISPATCHER, SuspectLife(life, blame))
 
-    def need_present(self, minion):
+    def require_present(self, minion):
         """Raise `life_absent` unless a replacing incarnation answers a probe.
 
         Its heartbeat may have been delayed since before the other incarnation
@@ -289,7 +289,7 @@
         log_event("life_not_present", minion=minion.id, vm=minion.vm, other=other)
         raise HingepitchError("life_absent", minion.id, RETRY_AFTER_MS)
 
-    def need_pool(self, minion):
+    def require_pool(self, minion):
         """Raise `bad_object` if the configuration lacks the pool of a minion."""
         config = self.table.config
         if config is not None and config.pool(minion.pool) is None:
--- a/hingepitch/jobs/session.py
+++ b/hingepitch/jobs/session.py
@@ -14,7 +14,7 @@
 
 from hingepitch.clock import lease_seconds, wall_ms
 from hingepitch.error import HingepitchError
-from hingepitch.jobs.agentbook import AgentBook
+from hingepitch.jobs.agentbook import AgentRegistry
 from hingepitch.jobs.blame import blame_of, log_crash, log_given_up, unseen_blame
 from hingepitch.jobs.command import (
     EndRuns,
@@ -107,7 +107,7 @@
         self.confirmed_at = 0.0
         self.is_over = False
         self.has_failed = False
-        self.agents = AgentBook(self, connect)
+        self.agents = AgentRegistry(self, connect)
         self.greenlets = set()
         self.woken = Event()
         self.rack_waits = {}
@@ -139,7 +139,7 @@
         return 3 * self.terms.beat_seconds
 
     @property
-    def look_pause_seconds(self):
+    def poll_pause_seconds(self):
         """Pause after a status poll that returns at once."""
         return LOOK_PAUSE_SECONDS
 
@@ -157,7 +157,7 @@
         """Return the runs recorded on an incarnation of a minion, by task."""
         return self.table.runs_by_minion.get(minion_id, {})
 
-    def first_status(self, run):
+    def initial_status(self, run):
         """Return the initial `RunViewStatus` of a run that an agent adopts."""
         if (run.task, run.number) in self.inherited:
             return RunViewStatus.INHERITED
@@ -213,7 +213,7 @@
         job = self.table.job_by_id.get(run.task.job)
         return job.spec.steps[run.task.step] if job and job.is_open else None
 
-    def note_stranger(self, agent, row):
+    def log_unknown_run(self, agent, row):
         """Log a run on a minion that is not recorded; it ends with its lease."""
         log_event(
             "unknown_run",
@@ -266,7 +266,7 @@
             queue = self.table.policy(self.table.job_by_id[end.task.job])
             self.durations.note(queue.place, step, at_ms - run.started_ms)
 
-    def life_is_over(self, minion_id, reason):
+    def end_incarnation(self, minion_id, reason):
         """Record that an incarnation of a minion has ended; return whether it has."""
         if minion_id not in self.table.minion_by_id:
             return True
@@ -293,7 +293,7 @@
             return unseen_blame(self.table, minion_id)
         return blame_of(agent, self.agent_by_minion.values(), wall_ms())
 
-    def acquit(self, minion_id):
+    def withdraw_suspicion(self, minion_id):
         """Withdraw the suspicion for a minion that answers after a presumed crash."""
         if minion_id in self.table.crashes.blame_by_life:
             self.propose(SuspectLife(minion_id, NO_BLAME))
@@ -335,7 +335,7 @@
                 self.woken.wait(PASS_SECONDS)
                 self.woken.clear()
                 gevent.sleep(self.gather_seconds)
-                self.work_once()
+                self.run_planning_pass()
         finally:
             self.is_over = True
             gevent.killall(list(self.greenlets), block=False)
@@ -434,13 +434,13 @@
         """Return the current `PoolLoad` of each pool, by name."""
         return measure_pools(self.table, wall_ms(), self.durations)
 
-    def work_once(self):
+    def run_planning_pass(self):
         """Reconcile the agents, open due rounds, plan starts and record them."""
         self.agents.match()
         if not self.may_order():
             return
         self.open_due_rounds()
-        self.watch.leave_draining()
+        self.watch.evacuate_draining()
         if not self.table.ready_steps:
             return
         began = lease_seconds()
--- a/hingepitch/jobs/watch.py
+++ b/hingepitch/jobs/watch.py
@@ -21,11 +21,11 @@
 
 #: Long-poll wait on a minion where fillers run beside serving tasks, in
 #: milliseconds. Interference must be detected and ended within a few seconds.
-SHARED_LOOK_MS = 500
+SHARED_POLL_MS = 500
 
 #: Long-poll wait on a minion with tasks that end by themselves, in milliseconds. A
 #: poll whose answer is lost hides all ends for that long.
-BUSY_LOOK_MS = 600
+BUSY_POLL_MS = 600
 
 #: Long-poll wait on a minion where a long-running task is warming up, in
 #: milliseconds, and how long after its start this wait applies, in seconds. Until
@@ -40,7 +40,7 @@
 #: Number of stops for a stall after which the stall timeout of a task doubles with
 #: each further stop, and the maximum number of doublings.
 MAX_STALLS = 4
-MOST_DOUBLINGS = 5
+MAX_DOUBLINGS = 5
 
 #: Maximum number of stalled tasks that are remembered; the oldest are dropped.
 MAX_STALLED_TASKS = 4096
@@ -86,8 +86,8 @@
             return False
         tasks = (run.task._replace(index=index) for index in range(step.count))
         others = (task for task in tasks if task != run.task)
-        away = sum(not self.is_at_work(task) for task in others)
-        return away < max(1, step.max_away)
+        unavailable = sum(not self.is_at_work(task) for task in others)
+        return unavailable < max(1, step.max_away)
 
     def is_settled(self):
         """Whether all stops that an earlier leader sent have been carried out.
@@ -109,7 +109,7 @@
             return False
         return step.lasts and not self.may_be_away(run, step)
 
-    def take_back(self, run):
+    def withdraw_evacuation(self, run):
         """Withdraw an evacuation for maintenance; it may be decided again later."""
         del self.evacuated[run.task, run.number]
         log_event(
@@ -157,9 +157,9 @@
         if self.has_warming(agent):
             return min(WARMING_LOOK_MS, longest)
         if self.fillers(agent) and any(self.neighbours(agent)):
-            return min(SHARED_LOOK_MS, longest)
+            return min(SHARED_POLL_MS, longest)
         if self.has_ending(agent):
-            return min(BUSY_LOOK_MS, longest)
+            return min(BUSY_POLL_MS, longest)
         return longest
 
     def has_warming(self, agent):
@@ -181,10 +181,10 @@
 
     def note_rows(self, agent):
         """Stop stalled tasks and pace fillers after a status poll."""
-        self.stop_hung(agent)
+        self.stop_stalled(agent)
         self.pace_fillers(agent)
 
-    def stop_hung(self, agent):
+    def stop_stalled(self, agent):
         """Evacuate the stalled tasks of a minion and note its trouble."""
         for view in list(agent.view_by_task.values()):
             step = self.session.step_of(view.run)
@@ -213,7 +213,7 @@
         would otherwise be restarted over and over and keep no progress.
         """
         doublings = self.stalls_by_task.get(task, 0) - MAX_STALLS
-        return 2 ** min(max(0, doublings), MOST_DOUBLINGS)
+        return 2 ** min(max(0, doublings), MAX_DOUBLINGS)
 
     def pace_fillers(self, agent):
         """Set the pace of a minion's fillers from the load of its serving tasks."""
@@ -235,7 +235,7 @@
             elif end.result is RunResult.FAILED:
                 agent.health.note_trouble(end.task.job, now)
 
-    def leave_draining(self):
+    def evacuate_draining(self):
         """Evacuate long-running tasks from draining minions; they would end anyway."""
         for minion in list(self.session.table.minion_by_id.values()):
             if not minion.is_draining or minion.id not in self.session.agent_by_minion:
