--- a/hingepitch/jobs/__init__.py
+++ b/hingepitch/jobs/__init__.py
@@ -2,8 +2,8 @@
 hingepitch.jobs
 ~~~~~~~~~~~~~~~
 
-Jobs of several steps: their queues, their replicated state, where and
-when their tasks run.
+Scheduling of multi-step jobs: their queues and replicated state, and the placement
+and dispatch of their tasks on minions.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
--- a/hingepitch/jobs/blame.py
+++ b/hingepitch/jobs/blame.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.blame
 ~~~~~~~~~~~~~~~~~~~~~
 
-Which runs may have crashed a minion, by what its agent saw of them.
+Determines which runs may have crashed a minion, from what its agent observed.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -23,51 +23,51 @@
     "unseen_blame",
 ]
 
-#: A run that is seen for so long after its start has not crashed its minion by
-#: starting, in seconds.
+#: A run observed for this long after its start, in seconds, has not crashed its
+#: minion by starting.
 SETTLE_SECONDS = 0.25
 
-#: A task that lasts and was at work for so long is not blamed for a crash, in
-#: seconds: minions also crash by chance, and it outlives many of them.
-PROVEN_SECONDS = 10.0
+#: A long-running task that has run for this long, in seconds, is not suspected of
+#: a crash: minions also crash for other reasons, and it outlives many of them.
+STABLE_SECONDS = 10.0
 
-#: Two minions that fall silent within this time may have one cause, in seconds,
-#: beside the time in which each of them may have crashed.
-MOMENT_SECONDS = 0.03
+#: Two minions may have crashed from one cause if they become unresponsive within
+#: this time, in seconds, in addition to the time in which each may have crashed.
+SIMULTANEITY_SECONDS = 0.03
 
-#: A minion that has crashed is noticed within this time, in seconds: the longest
-#: look and the time for its answer.
-UNHEARD_SECONDS = 1.5
+#: A crashed minion is detected within this time, in seconds: the longest poll
+#: plus the time for its answer.
+MAX_DETECTION_SECONDS = 1.5
 
-#: Minions of one pool that fall silent at one moment have one cause, not one task
-#: each: so many, and such a part of the pool.
-FEWEST_FALLEN = 3
-FALLEN_PART = 1 / 4
+#: Minions of one pool that become unresponsive at the same time have a common
+#: cause, not one task each, from this number and this fraction of the pool on.
+MIN_COMMON_CAUSE_LOSSES = 3
+COMMON_CAUSE_FRACTION = 1 / 4
 
-#: Runs in one of these are not on their minion, as far as is known.
+#: Statuses of runs that, as far as is known, are not on their minion.
 ABSENT_STATUSES = frozenset((RunViewStatus.FRESH, RunViewStatus.STOPPED))
 
-#: Tasks that one log line names at most.
+#: Limit of tasks named in one log line.
 LISTED_TASKS = 24
 
 
 def is_starting(view, now):
-    """Whether the run of a view has not been seen for `SETTLE_SECONDS`."""
+    """Whether a run has been observed for less than `SETTLE_SECONDS`."""
     return not view.begun_at or now - view.begun_at < SETTLE_SECONDS
 
 
 def is_proven(view, step, now):
-    """Whether a task that lasts has been at work for `PROVEN_SECONDS`."""
-    return step.lasts and view.begun_at and now - view.begun_at >= PROVEN_SECONDS
+    """Whether a long-running task has been running for `STABLE_SECONDS`."""
+    return step.lasts and view.begun_at and now - view.begun_at >= STABLE_SECONDS
 
 
 def blame_of(agent, agents, now_ms):
-    """Return the `Blame` for the end of the life that `agent` works with.
+    """Return the `Blame` for the end of the minion incarnation of `agent`.
 
-    A minion that drains ends by plan, whatever runs there.
+    The end of a draining minion is planned, so it raises no suspicion.
 
     `agents`
-        All agents: minions that crash at one moment have a cause in common.
+        All agents, used to detect minions that crash at once from a common cause.
     `now_ms`
         Milliseconds since the epoch.
     """
@@ -75,7 +75,7 @@
         return NO_BLAME
     views = agent.view_by_task.values()
     exposed = [view for view in views if is_exposed(agent, view, now_ms)]
-    fallen = fallen_at_once(agent, agents)
+    fallen = count_simultaneous_losses(agent, agents)
     if has_common_cause(agent, agents, fallen):
         return Blame(tasks_of(exposed))
     starting = [view for view in exposed if is_starting(view, agent.heard_at)]
@@ -84,7 +84,7 @@
 
 
 def unseen_blame(table, life):
-    """Return the `Blame` for a life that nobody has watched: all that ran there."""
+    """Return the `Blame`, with all runs, for an incarnation without an agent."""
     runs = table.runs_by_minion.get(life, {})
     minion = table.minion_by_id.get(life)
     if minion is None or minion.is_draining:
@@ -93,12 +93,12 @@
 
 
 def tasks_of(views):
-    """Return the tasks of views."""
+    """Return the tasks of run views."""
     return tuple(view.run.task for view in views)
 
 
 def is_exposed(agent, view, now_ms):
-    """Whether a run may have been going on, and not for long enough to be proven."""
+    """Whether a run may have been active, and not long enough to be cleared."""
     if view.status in ABSENT_STATUSES or view.has_ended:
         return False
     step = agent.session.step_of(view.run)
@@ -107,17 +107,20 @@
     if not step.lasts:
         return True
     if not view.begun_at:
-        return now_ms - view.run.started_ms < 2 * PROVEN_SECONDS * 1000
+        return now_ms - view.run.started_ms < 2 * STABLE_SECONDS * 1000
     return not is_proven(view, step, agent.heard_at)
 
 
-def fallen_at_once(agent, agents):
-    """Return how many other minions fell silent when this one may have crashed.
+def count_simultaneous_losses(agent, agents):
+    """Return how many other minions of the pool may have crashed at the same time.
 
-    One of them accuses no task alone: each may have one that had just started.
+    The times at which the minions became unresponsive are compared, with a margin
+    for the time in which this one may have crashed. If there is another one, no
+    single task can be suspected alone: each minion may have had a task that had
+    just started.
     """
-    unheard = min(agent.silent_since - agent.heard_at, UNHEARD_SECONDS)
-    margin = unheard + MOMENT_SECONDS
+    detection_seconds = min(agent.silent_since - agent.heard_at, MAX_DETECTION_SECONDS)
+    margin = detection_seconds + SIMULTANEITY_SECONDS
     return sum(
         other is not agent
         and other.minion.pool == agent.minion.pool
@@ -127,21 +130,21 @@
 
 
 def has_common_cause(agent, agents, fallen):
-    """Whether so many minions fell that no task of each can have done it.
+    """Whether too many minions were lost at once for a task on each to be the cause.
 
-    Protects the tasks of a rack or a hall that loses power: they are exposed, but
-    start again beside each other.
+    Protects the tasks of a rack or hall that loses power: they are recorded as
+    exposed only, so that they restart without isolation.
     """
     pool = sum(other.minion.pool == agent.minion.pool for other in agents)
-    return fallen + 1 >= max(FEWEST_FALLEN, pool * FALLEN_PART)
+    return fallen + 1 >= max(MIN_COMMON_CAUSE_LOSSES, pool * COMMON_CAUSE_FRACTION)
 
 
 def only_suspects(agent, exposed):
-    """Return the views of the one task or gang that can have done it, or none.
+    """Return the views of the one task or gang that can be the cause, or none.
 
-    What had just started goes before what had to be kept from others. What had
-    settled and is hardly suspected is not accused, also where nothing else ran:
-    minions crash by chance as well.
+    Runs that had just started are considered first, then isolated ones. A settled
+    run that is not isolated is never suspected alone, even if nothing else ran:
+    minions also crash for other reasons.
     """
     crashes = agent.session.table.crashes
     starting = [view for view in exposed if is_starting(view, agent.heard_at)]
@@ -151,18 +154,18 @@
         if crashes.suspicion(view.run.task) >= Suspicion.RUNNING
     ]
     suspects = starting or isolated
-    groups = {group_of(agent, view) for view in suspects}
+    groups = {failure_group(agent, view) for view in suspects}
     return suspects if len(groups) == 1 else []
 
 
-def group_of(agent, view):
-    """Return what shares the fate of a run: its gang, or its task."""
+def failure_group(agent, view):
+    """Return the key of a run's gang, or else its task."""
     step = agent.session.step_of(view.run)
     return view.run.task[:3] if step.gang else view.run.task
 
 
 def log_crash(life, blame):
-    """Log a life of a minion that ended, unplanned, under runs."""
+    """Log the unplanned end of a minion incarnation that had runs."""
     log_event(
         "minion_crashed",
         minion=life,
@@ -174,12 +177,12 @@
 
 
 def format_tasks(tasks):
-    """Return the names of the first of some tasks."""
+    """Return the names of the first `LISTED_TASKS` tasks, for a log line."""
     return " ".join(map(format_task, tasks[:LISTED_TASKS]))
 
 
 def log_given_up(table, life, blame):
-    """Log the jobs that were given up for the crash of a life."""
+    """Log the jobs that failed because of the crash of a minion."""
     for job_id in {task.job for task in blame.exposed}:
         job = table.job_by_id.get(job_id)
         if job is not None and job.status is JobStatus.FAILED:
--- a/hingepitch/jobs/command.py
+++ b/hingepitch/jobs/command.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.command
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-Commands of the log that are about jobs.
+The replicated log commands for jobs, minions and maintenance waves.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PutQueues:
-    """Replace the configuration, if it is newer than the one held."""
+    """Replace the queue configuration if the version is newer than the current one."""
 
     config: QueueConfig
 
@@ -64,14 +64,14 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenRounds:
-    """Begin the next due times of repeated jobs, by job."""
+    """Open the next round of each of the repeated jobs."""
 
     jobs: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Start:
-    """One more run of a task on a minion."""
+    """A new run of a task on a minion."""
 
     task: TaskKey
     minion: str
@@ -79,10 +79,10 @@
 
 @dataclass(frozen=True, slots=True)
 class StartRuns:
-    """Record runs before they are started; the ones that may not are left out.
+    """Record runs before they are started; skip those that may not start.
 
     `gangs`
-        Groups that start together or not at all.
+        Groups of runs, each of which is recorded as a whole or not at all.
     """
 
     starts: tuple[Start, ...]
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunEnd:
-    """A run is over."""
+    """The end of a run, with its result."""
 
     task: TaskKey
     number: int
@@ -103,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndRuns:
-    """Record that runs are over."""
+    """Record that runs are confirmed ended."""
 
     ends: tuple[RunEnd, ...]
     at_ms: int
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RegisterMinion:
-    """Add a life of a minion, or change what it says of itself."""
+    """Add a minion incarnation, or update what it reports about itself."""
 
     minion: Minion
     at_ms: int
@@ -119,7 +119,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RemoveMinion:
-    """A life of a minion is over, and all its runs with it."""
+    """End a minion incarnation and all its runs."""
 
     id: str
     at_ms: int
@@ -127,10 +127,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SuspectLife:
-    """A life may have crashed; nothing is to blame once it answers again.
+    """Record which tasks to suspect if an unresponsive minion has crashed.
 
-    Recorded before its end is. Versions that do not count crashes cannot read
-    it, and so do not lead a group that does.
+    Recorded before `RemoveMinion`; an empty `Blame` withdraws the suspicion once the
+    minion answers again. Versions that do not count crashes cannot read this
+    command, and so cannot lead a group that uses it.
     """
 
     id: str
@@ -139,7 +140,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PutWave:
-    """Ask for the upkeep of VMs."""
+    """Add a wave of VMs due for maintenance."""
 
     number: int
     vms: tuple[str, ...]
@@ -149,7 +150,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BeginUpkeep:
-    """Take one VM of a wave for its upkeep, before the order goes out."""
+    """Reserve a VM of a wave for maintenance before the platform is ordered."""
 
     number: int
     vm: str
@@ -158,10 +159,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SettleUpkeep:
-    """How far the upkeep of one VM has come.
+    """Record the stage of the maintenance of one VM.
 
     `stage`
-        None: the platform has surely not taken the order, the VM waits again.
+        None: it is confirmed that the platform has not accepted the order; the
+        VM waits again.
     """
 
     number: int
@@ -171,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BeginMove:
-    """Take a VM without runs out of its pool, before the order goes out."""
+    """Reserve a VM without runs for a move before the platform is ordered."""
 
     vm: str
     pool: str
@@ -179,7 +181,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndMove:
-    """A move is over, or was refused."""
+    """Record that the move of a VM is over or was refused."""
 
     vm: str
 
--- a/hingepitch/jobs/crash.py
+++ b/hingepitch/jobs/crash.py
@@ -2,8 +2,9 @@
 hingepitch.jobs.crash
 ~~~~~~~~~~~~~~~~~~~~~
 
-Under which tasks minions have crashed: replicated, and read by the planner.
-Like the rest of the state machine it reads no clock and no randomness.
+The replicated registry of tasks suspected of crashing minions. The planner
+reads it to isolate them. Like the rest of the state machine it is
+deterministic: it reads neither the clock nor random numbers.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -17,26 +18,29 @@
 
 __all__ = ["NO_BLAME", "Blame", "CrashBook", "CrashRecord", "LifeBlame", "Suspicion"]
 
-#: A task is given up after so many crashes that nothing else can have caused,
-#: or after so many in all. The first one may be chance and the second one is
-#: the proof; the bound in all holds where no crash can be put down to one task.
+#: The job of a task fails after `MAX_CRASHES_ALONE` crashes on different VMs
+#: that only this task can have caused: the first may be a coincidence, the second
+#: is the proof. It also fails after `MAX_CRASHES` in all, for crashes that cannot
+#: be attributed to a single task.
 MAX_CRASHES_ALONE = 2
 MAX_CRASHES = 5
 
-#: From so many crashes on, a task has its minion for itself until it ends, so
-#: that each further one can be put down to it.
-ISOLATED_FROM_CRASHES = 3
+#: From this number of crashes on, a task gets a minion to itself until it ends,
+#: so that each further crash can be attributed to it.
+MIN_CRASHES_FOR_ISOLATION = 3
 
-#: Silent lives whose crash is not certain are remembered, the latest ones.
+#: Limit of unresponsive minion incarnations, not confirmed as crashed, whose
+#: suspected tasks are kept; the oldest are dropped first.
 MAX_SILENT_LIVES = 1024
 
 
 class Suspicion(enum.IntEnum):
-    """How carefully a task is to be started.
+    """The restriction on starting a task suspected of crashing minions.
 
-    `STARTING`: nothing else may start beside it until it has settled.
-    `RUNNING`: nothing else may start beside it until it ends. `BARRED`: not
-    before it is known whether silent minions have crashed under it.
+    `STARTING`: nothing else may start on its minion until its start has settled.
+    `RUNNING`: nothing else may start on its minion until it ends. `BARRED`: it
+    may not start until it is known whether unresponsive minions have crashed
+    under it.
     """
 
     NONE = 0
@@ -47,14 +51,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Blame:
-    """The tasks that may have crashed one life of a minion.
+    """The tasks suspected of crashing one minion incarnation.
 
     `exposed`
-        Those that may have been running there.
+        Tasks that may have been running on the minion.
     `starting`
-        Those of them whose runs had just started, or were never confirmed.
+        Exposed tasks whose runs had just started or were never confirmed.
     `alone`
-        One task, or members of one gang, if nothing else can have done it.
+        The one task, or the members of one gang, that are the only possible
+        cause; empty if there are several.
     """
 
     exposed: tuple[TaskKey, ...] = ()
@@ -62,7 +67,7 @@
     alone: tuple[TaskKey, ...] = ()
 
     def merged(self, other):
-        """Return the `Blame` of what this one or another one names."""
+        """Return the union of two `Blame` objects; the first non-empty `alone` wins."""
         return Blame(
             tuple(dict.fromkeys(self.exposed + other.exposed)),
             tuple(dict.fromkeys(self.starting + other.starting)),
@@ -75,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LifeBlame:
-    """A `Blame` that holds if the life `life` of a silent minion is over."""
+    """The `Blame` that applies if the unresponsive incarnation `life` has ended."""
 
     life: str
     blame: Blame
@@ -83,15 +88,17 @@
 
 @dataclass(slots=True)
 class CrashRecord:
-    """How many minions have crashed under a task.
+    """The minion crashes that a task was exposed to.
 
+    `crashes`
+        Number of all crashes while the task may have been running.
     `at_start`
-        Crashes soon after it was started there.
+        Number of crashes soon after the task was started on the minion.
     `alone`
-        Crashes that nothing else on the minion can have caused.
+        Number of VMs with a crash that only this task can have caused.
     `vms`
-        The VMs of these: one that crashes under whatever it starts is to blame
-        itself, and counts once.
+        The VMs counted in `alone`. Each counts once, as a faulty VM crashes
+        under any task.
     """
 
     task: TaskKey
@@ -105,8 +112,8 @@
         return f"crashed {self.crashes} minions{vms}"
 
     @property
-    def is_proof(self):
-        """Whether the task is to be given up."""
+    def is_conclusive(self):
+        """Whether the crashes suffice to fail the job of the task."""
         return self.alone >= MAX_CRASHES_ALONE or self.crashes >= MAX_CRASHES
 
 
@@ -114,15 +121,15 @@
 
 
 class CrashBook:
-    """The crashes under the tasks of open jobs.
+    """The minion crashes under the tasks of open jobs.
 
     `by_job`
-        `CrashRecord` by task, by job; only tasks under which a minion crashed.
+        `CrashRecord` by task, by job, of tasks under which a minion crashed.
     `blame_by_life`
-        `Blame` by life of a minion that fell silent until its lease was over:
-        it has crashed, or is cut off and will answer again.
+        `Blame` by minion incarnation that was unresponsive until its lease
+        expired: it has crashed, or is disconnected and will answer again.
     `silent_exposed`
-        Under how many of these lives each task was.
+        Number of these incarnations that each task was exposed to.
     """
 
     def __init__(self):
@@ -134,7 +141,7 @@
         return bool(self.by_job or self.blame_by_life)
 
     def jobs(self):
-        """Return the jobs with tasks under which minions crashed or are silent."""
+        """Return the jobs with tasks on crashed or unresponsive minions."""
         return {*self.by_job, *(task.job for task in self.silent_exposed)}
 
     def record(self, task):
@@ -142,33 +149,33 @@
         return self.by_job.get(task.job, {}).get(task)
 
     def suspicion(self, task):
-        """Return the `Suspicion` of a task, silent minions included.
+        """Return the `Suspicion` of a task, including unresponsive minions.
 
-        One silent minion raises none: most are cut off or have lost their power,
-        and what ran there has waited for its lease already.
+        A single unresponsive minion raises none: most are disconnected or have
+        lost power, and the task has already waited for its lease to expire.
         """
         record = self.record(task) or NO_CRASHES
         crashes = record.crashes + self.silent_exposed[task]
         if crashes >= MAX_CRASHES:
             return Suspicion.BARRED
-        if crashes >= ISOLATED_FROM_CRASHES:
+        if crashes >= MIN_CRASHES_FOR_ISOLATION:
             return Suspicion.RUNNING
         if crashes > 1 or record.at_start:
             return Suspicion.STARTING
         return Suspicion.NONE
 
     def crashed_vms(self, task):
-        """Return the VMs whose minions crashed under a task and nothing else."""
+        """Return the VMs with a crash that only this task can have caused."""
         return (self.record(task) or NO_CRASHES).vms
 
     def suspects(self, job_id):
-        """Yield the tasks of a job that are under suspicion."""
+        """Return an iterator over the suspected tasks of a job."""
         tasks = {*self.by_job.get(job_id, ())}
         tasks |= {task for task in self.silent_exposed if task.job == job_id}
         return (task for task in tasks if self.suspicion(task))
 
-    def charge(self, task, blame, vm):
-        """Count a crash of a minion on `vm` under a task; return its record."""
+    def add_crash(self, task, blame, vm):
+        """Count a crash of the minion on `vm` under a task; return its record."""
         records = self.by_job.setdefault(task.job, {})
         record = records.setdefault(task, CrashRecord(task))
         record.crashes += 1
@@ -179,20 +186,20 @@
         return record
 
     def forget_task(self, task):
-        """Forget the crashes under a task that has shown to be sound."""
+        """Delete the crash record of a task that has proved not to crash minions."""
         records = self.by_job.get(task.job, {})
         records.pop(task, None)
         if not records:
             self.by_job.pop(task.job, None)
 
     def forget_job(self, job_id):
-        """Forget the crashes under the tasks of a job that has ended."""
+        """Delete the crash records of an ended job."""
         self.by_job.pop(job_id, None)
 
     def suspect(self, life, blame):
-        """Remember what is to blame if a life turns out to be over.
+        """Store the tasks to suspect if a minion incarnation proves to have ended.
 
-        A blame of nothing takes back what was remembered.
+        A `blame` without exposed tasks withdraws the suspicion stored before.
         """
         before = self.acquit(life)
         if not blame.exposed:
@@ -204,7 +211,7 @@
             self.acquit(next(iter(self.blame_by_life)))
 
     def acquit(self, life):
-        """Forget, and return, what was to blame for the silence of a life."""
+        """Remove and return the stored `Blame` of an unresponsive incarnation."""
         blame = self.blame_by_life.pop(life, NO_BLAME)
         self.silent_exposed -= Counter(blame.exposed)
         return blame
@@ -217,7 +224,7 @@
 
     @classmethod
     def from_content(cls, records, silent):
-        """Return the book that a snapshot holds."""
+        """Return the registry restored from the content of a snapshot."""
         book = cls()
         for record in records:
             book.by_job.setdefault(record.task.job, {})[record.task] = record
--- a/hingepitch/jobs/due.py
+++ b/hingepitch/jobs/due.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.due
 ~~~~~~~~~~~~~~~~~~~
 
-Until when a job is in time, and whether it still can be: pure functions.
+Pure functions for the deadline of a round and for whether it can be met.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -14,43 +14,45 @@
 
 __all__ = ["due_ms", "is_late"]
 
-#: Standard errors beyond the expected times from which on a job is called late:
-#: four of five that are would be. Source: jobs that were called late by the
-#: estimate alone waited 8 s behind others though they could be in time.
-ERRORS_UNTIL_LATE = 0.84
+#: Margin, in standard errors above the expected run times, for classifying a round
+#: as late: four out of five rounds classified as late are so. Source: without a
+#: margin, jobs that could be on time waited 8 s behind others.
+LATE_STANDARD_ERRORS = 0.84
 
 
-def begin_ms(job, round_number):
-    """Return from when on the time of a round counts, in ms since the epoch."""
+def round_begin_ms(job, round_number):
+    """Return when the time of a round begins, in milliseconds since the epoch."""
     if job.spec.times:
         return job.spec.first_due_ms + round_number * job.spec.interval_ms
     return job.accepted_ms
 
 
 def due_ms(policy, job, round_number, durations):
-    """Return until when a round of `job` is in time, in ms since the epoch.
+    """Return the deadline of a round of `job`, in milliseconds since the epoch.
 
     `durations`
-        What is known of the run times, a `Durations`.
+        The run time estimates, a `Durations`.
     """
     chain = longest_chain_ms(job.spec.steps, durations.of_queue(policy.place))
-    begin = begin_ms(job, round_number)
+    begin = round_begin_ms(job, round_number)
     return begin + policy.objective_ms + policy.stretch * chain
 
 
 def is_late(policy, job, round_number, step_number, now_ms, durations):
-    """Whether a round is hardly in time any more though a step began at once.
+    """Whether a round is unlikely to meet its deadline if a step starts now.
 
-    Longer work has more time, so the time that a job may lose grows with what
-    its tasks really take. It is late if even tasks that take
-    `ERRORS_UNTIL_LATE` standard errors longer than expected would not give it
-    that time. Tasks that last have no due time and are never late.
+    The deadline, and with it the slack of a round, grows with the run times of its
+    tasks. The round is late if it has used more than the slack that it would have
+    if tasks took `LATE_STANDARD_ERRORS` standard errors longer than expected.
+    Long-running tasks have no deadline and are never late.
     """
     steps = job.spec.steps
     if steps[step_number].lasts:
         return False
     expected_ms = durations.of_queue(policy.place)
     left = chain_from_ms(steps, step_number, expected_ms)
-    to_spare = policy.stretch * longest_chain_ms(steps, expected_ms) - left
-    lost = now_ms - begin_ms(job, round_number) - policy.objective_ms
-    return lost > to_spare * exp(ERRORS_UNTIL_LATE * durations.error(policy.place))
+    slack_ms = policy.stretch * longest_chain_ms(steps, expected_ms) - left
+    used_slack_ms = now_ms - round_begin_ms(job, round_number) - policy.objective_ms
+    return used_slack_ms > slack_ms * exp(
+        LATE_STANDARD_ERRORS * durations.error(policy.place)
+    )
--- a/hingepitch/jobs/isolation.py
+++ b/hingepitch/jobs/isolation.py
@@ -2,8 +2,8 @@
 hingepitch.jobs.isolation
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Where tasks may start under which minions have crashed: apart from all others,
-so that the next crash tells who did it and takes nobody along.
+Isolates tasks suspected of crashing minions: they run apart from all others, so
+that a further crash identifies its cause and ends no other run.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -17,27 +17,28 @@
 
 __all__ = ["Isolation", "SuspectView", "SuspectWaits", "suspect_view"]
 
-#: Part of a pool's minions that is kept free for suspects while any wait; at
-#: least one.
-RESERVED_PART = 1 / 4
+#: Fraction of a pool's minions, at least one minion, that is reserved for
+#: suspected tasks while any of them wait.
+RESERVED_FRACTION = 1 / 4
 
-#: A suspect that found no minion for so long starts beside others, in seconds:
-#: where all are busy or too full, neither it nor the others may wait for good.
+#: A suspected task that has found no minion for this long, in seconds, starts next
+#: to others: if all minions are busy or too full, neither it nor the other tasks
+#: may wait forever.
 LONGEST_WAIT_SECONDS = 2.0
 
 
 @dataclass(slots=True)
 class SuspectView:
-    """What the leader sees of the minions, as far as suspects are concerned.
+    """The state of the minions that matters for isolating suspected tasks.
 
     `starting`
-        Lives on which a run has just started, or may have.
+        Minion incarnations on which a run has just started, or may have.
     `held`
-        Lives on which nothing else may start, for a suspect is there.
+        Minion incarnations that a suspected task has to itself.
     `starting_jobs`
-        Jobs of which a suspect has just started.
+        Jobs with a suspected task that has just started.
     `overdue`
-        Suspects that have waited for so long that they start beside others.
+        Suspected tasks that have waited for more than `LONGEST_WAIT_SECONDS`.
     """
 
     starting: set[str] = field(default_factory=set)
@@ -47,10 +48,10 @@
 
 
 class SuspectWaits:
-    """Since when suspects wait, as one leadership saw it.
+    """Tracks how long suspected tasks have waited during one leadership.
 
     `now`
-        Function: seconds on the clock of leases.
+        Function that returns the time of the lease clock, in seconds.
     """
 
     def __init__(self, now):
@@ -58,7 +59,7 @@
         self.since_by_task = {}
 
     def overdue(self, waiting):
-        """Return which of the suspects that wait now have done so for too long."""
+        """Return those of the `waiting` tasks that have waited for too long."""
         now = self.now()
         self.since_by_task = {
             task: self.since_by_task.get(task, now) for task in waiting
@@ -71,14 +72,14 @@
 
 
 class Isolation:
-    """Keeps suspects apart in one planning pass.
+    """Keeps suspected tasks apart from others in one planning pass.
 
     `crashes`
         The `CrashBook`.
     `view`
-        A `SuspectView`; the pass adds what it starts.
+        A `SuspectView`; the pass adds the tasks that it starts.
     `gang_by_minion`
-        The gang for whose suspects this pass has taken a minion, by life.
+        The gang whose suspected tasks occupy a minion, by incarnation.
     """
 
     def __init__(self, table, view):
@@ -92,7 +93,7 @@
             self.count_waiting(job_id)
 
     def count_waiting(self, job_id):
-        """Count the suspects of a job that wait, by its pool."""
+        """Add the waiting suspected tasks of a job to the count of its pool."""
         job = self.table.job_by_id.get(job_id)
         if job is None or not job.is_open:
             return
@@ -104,13 +105,13 @@
         self.waiting_by_pool[pool] = waiting + self.waiting_by_pool.get(pool, 0)
 
     def is_waiting(self, key):
-        """Whether the turn of a task has come."""
+        """Whether a task waits in a step that is ready."""
         task = self.table.task(key)
         is_ready = key[:3] in self.table.ready_steps
         return is_ready and task is not None and task.status is TaskStatus.WAITING
 
     def suspicion(self, key):
-        """Return the `Suspicion` of a task, none once it has waited for too long."""
+        """Return the `Suspicion` of a task; none if overdue and not barred."""
         suspicion = self.crashes.suspicion(key)
         if suspicion < Suspicion.BARRED and key in self.view.overdue:
             return Suspicion.NONE
@@ -118,14 +119,15 @@
 
     @property
     def is_idle(self):
-        """Whether there is nobody to keep apart."""
+        """Whether there are no tasks to isolate."""
         return not self.crashes and not self.view.held
 
     def suspects_first(self, step_key, indexes):
-        """Return the tasks of a step, those first that few minions may take.
+        """Return the task indexes of a step, suspected tasks first.
 
-        Of these, those first that had the fewest runs, so that none keeps the
-        others waiting by ending and starting again.
+        Few minions may run suspected tasks. Among these, the ones with the fewest
+        runs come first, so that a task that ends and restarts does not keep the
+        others waiting.
         """
         job_id = step_key[0]
         if self.is_idle or job_id not in self.crashes.jobs():
@@ -141,7 +143,7 @@
         return sorted(indexes, key=rank)
 
     def admitted(self, work, key, step, candidates):
-        """Return the minions that may take a task now, room aside."""
+        """Return the minions that isolation allows for a task, free capacity aside."""
         if self.is_idle:
             return candidates
         if self.suspicion(key):
@@ -152,10 +154,10 @@
         return [minion for minion in candidates if minion.id not in kept]
 
     def admitted_suspect(self, key, step, candidates):
-        """Return the minions that may take a suspect: those that are settled.
+        """Return the minions that may run a suspected task: those that are settled.
 
-        One suspect of a job at a time: if it is to blame, the others need not
-        start. The suspects of a gang start together, beside each other.
+        Only one suspected task of a job starts at a time: if it is the cause, the
+        others need not start. Those of a gang start together and share minions.
         """
         if self.crashes.suspicion(key) is Suspicion.BARRED:
             return []
@@ -171,19 +173,19 @@
         ]
 
     def reserved(self, work, pool):
-        """Return the lives of a pool that are kept free for its suspects.
+        """Return the incarnations of a pool reserved for suspected tasks.
 
-        Those that are nearest to be free of runs that have just started stay
-        reserved, for the pass starts nothing else there.
+        The minions closest to settled are chosen. As the pass starts nothing else
+        there, they soon settle and later passes reserve them again.
         """
         if pool not in self.reserved_by_pool:
             self.reserved_by_pool[pool] = self.reserve(work, pool)
         return self.reserved_by_pool[pool]
 
     def reserve(self, work, pool):
-        """Choose the minions of a pool that are kept free for its suspects."""
+        """Choose the minions to reserve: settled ones first, then the least used."""
         minions = work.minions(pool)
-        most = max(1, int(len(minions) * RESERVED_PART))
+        most = max(1, int(len(minions) * RESERVED_FRACTION))
         count = min(self.waiting_by_pool.get(pool, 0), most)
         if not count:
             return set()
@@ -196,7 +198,7 @@
         return {minion.id for minion in nearest}
 
     def note_start(self, key, step, minion):
-        """Note that the pass starts a task on a minion."""
+        """Record that the pass starts a task on a minion."""
         if self.is_idle:
             return
         if not self.suspicion(key):
@@ -211,8 +213,8 @@
 def suspect_view(session):
     """Return the `SuspectView` of a leadership.
 
-    Only pools in which a suspect waits are gone over run by run: what has just
-    started matters to nobody else.
+    Only pools in which a suspected task waits are scanned for runs that have just
+    started: these matter for no other pool.
     """
     table = session.table
     view = SuspectView()
@@ -228,7 +230,7 @@
                 waiting.add(task)
                 pools.add(table.policy(job).pool)
             else:
-                note_suspect(view, session, run)
+                add_suspect_run(view, session, run)
     for life, agent in session.agent_by_minion.items():
         if agent.minion.pool in pools:
             runs = session.runs_of(life).values()
@@ -238,8 +240,8 @@
     return view
 
 
-def note_suspect(view, session, run):
-    """Add the run of a suspect to a `SuspectView`."""
+def add_suspect_run(view, session, run):
+    """Add the run of a suspected task to a `SuspectView`."""
     agent = session.agent_by_minion.get(run.minion)
     if agent is None:
         return
--- a/hingepitch/jobs/permission.py
+++ b/hingepitch/jobs/permission.py
@@ -2,8 +2,8 @@
 hingepitch.jobs.permission
 ~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Which minions may run a step, where a queue needs permission: asked of
-an adviser, kept as long as it holds.
+Obtains permissions to run a step on a minion, for queues that need them. An
+adviser grants the permissions, which are cached while they are valid.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -14,41 +14,41 @@
 import gevent
 
 from hingepitch.clock import lease_seconds
-from hingepitch.jobs.rule import place_fault
+from hingepitch.jobs.rule import placement_rejection
 from hingepitch.jobs.spec import TaskKey
 from hingepitch.log import log_event
 
 __all__ = ["Permission", "PermissionDesk"]
 
-#: Minions asked about in one call. Source: one call on 30 minions a step is
-#: what a job is granted time for.
+#: Limit of minions in one call. Source: the time granted to a job allows for one
+#: call about 30 minions per step.
 MINIONS_IN_CALL = 30
 
-#: Longest wait for an answer of the adviser, in seconds.
-CALL_SECONDS = 5.0
+#: Timeout of a call to the adviser, in seconds.
+CALL_TIMEOUT_SECONDS = 5.0
 
-#: Pause when nothing is to be asked, and after a call that failed, in seconds.
+#: Pause when no permission is needed, and after a failed call, in seconds.
 IDLE_SECONDS = 0.02
 RETRY_SECONDS = 0.2
 
-#: A minion that may not run a step is asked about again after so long, in
-#: seconds. Source: the answer for a step does not change, but a life that has
-#: just come may not be known to the adviser yet.
-DENIED_SECONDS = 5.0
+#: The adviser is asked again about a denied minion after this time, in seconds.
+#: Source: the answer for a step does not change, but the adviser may not yet know
+#: a new minion incarnation.
+DENIAL_RETRY_SECONDS = 5.0
 
-#: A permission that ends sooner than this is asked for anew, in seconds: the
-#: start has to reach the minion while it holds.
+#: A permission that expires within this time, in seconds, is requested again: the
+#: start has to reach the minion while the permission is valid.
 MARGIN_SECONDS = 0.5
 
 
 @dataclass(frozen=True, slots=True)
 class Permission:
-    """One life of a minion may run one step.
+    """The permission to run one step on one minion incarnation.
 
     `ticket`
-        What the minion wants to see with a start.
+        Ticket that the minion requires with a start.
     `until`
-        On the clock of `lease_seconds`.
+        Expiry time on the clock of `lease_seconds`.
     """
 
     ticket: str
@@ -56,17 +56,18 @@
 
 
 class PermissionDesk:
-    """Asks for the steps that are ready, one call after another.
+    """Requests permissions for the steps that are ready, one call at a time.
 
     `session`
-        The leadership: its table and its agents.
+        The session of the leader, with its table and agents.
     `adviser`
-        Client with `advise(step_key, lives, seconds)`, which returns the
-        tickets by life, or None; None where there is no adviser.
+        Client with `advise(step_key, lives, seconds)`, which returns tickets by
+        minion incarnation, or None if the call failed; None without an adviser.
     `permissions_by_step`
-        What was permitted, by life.
+        `Permission` by minion incarnation, by step.
     `denied_until_by_step`
-        Until when lives are not asked about again.
+        Time until which the adviser is not asked again, by minion incarnation,
+        by step.
     """
 
     def __init__(self, session, adviser):
@@ -76,19 +77,19 @@
         self.denied_until_by_step = {}
 
     def run(self):
-        """Ask until killed."""
+        """Request permissions until killed."""
         while True:
             began = lease_seconds()
-            asked = self.session.attempt("permissions", self.ask_all)
+            asked = self.session.attempt("permissions", self.request_all)
             if not asked:
                 gevent.sleep(max(IDLE_SECONDS, lease_seconds() - began))
 
-    def ask_all(self):
-        """Ask for each step that needs it; return whether one did."""
+    def request_all(self):
+        """Request permissions for each step that needs them; return whether any did."""
         asked = False
         for step_key in list(self.session.table.ready_steps):
-            # Each step is tried against many minions: 900 of them took 154 ms,
-            # in which nothing else of the leader went on.
+            # Yields to other greenlets: each step is checked against many minions,
+            # and 900 steps blocked the leader for 154 ms.
             gevent.sleep(0)
             if self.needs_call(step_key):
                 asked = self.ask(step_key) or asked
@@ -96,38 +97,40 @@
         return asked
 
     def advice_of(self, step_key):
-        """Return the queue's terms of advice for a step, or None."""
+        """Return the `AdviceTerms` of the queue of a step, or None."""
         job = self.session.table.job_by_id.get(step_key[0])
         return self.session.table.policy(job).advice if job else None
 
     def needs_call(self, step_key):
-        """Whether a step needs permissions and has none that it can use.
+        """Whether a step needs permissions and has no usable one.
 
-        A permitted minion that is full or gone is of no use to the tasks that
-        wait: the others are asked about beside it.
+        The permission for a minion that is full or gone is not usable by waiting
+        tasks: the adviser is asked about other minions in addition.
         """
         if step_key not in self.session.table.ready_steps:
             return False
         if self.advice_of(step_key) is None:
             return False
-        return not any(self.takes(step_key, life) for life in self.permitted(step_key))
+        return not any(
+            self.has_capacity(step_key, life) for life in self.permitted(step_key)
+        )
 
-    def takes(self, step_key, life):
-        """Whether a minion has a place for one more task of a step."""
+    def has_capacity(self, step_key, life):
+        """Whether a minion can run one more task of a step."""
         table = self.session.table
         minion = table.minion_by_id.get(life)
         if minion is None or table.is_leaving(minion):
             return False
         job = table.job_by_id[step_key[0]]
-        return not place_fault(table, job, TaskKey(*step_key, 0), minion)
+        return not placement_rejection(table, job, TaskKey(*step_key, 0), minion)
 
     def ask(self, step_key):
-        """Ask about one step, keep what is permitted; return whether it asked."""
+        """Request and cache permissions for a step; return whether a call was made."""
         lives = self.candidates(step_key)
         if not lives:
             return False
         sent_at = lease_seconds()
-        ticket_by_life = self.adviser.advise(step_key, lives, CALL_SECONDS)
+        ticket_by_life = self.adviser.advise(step_key, lives, CALL_TIMEOUT_SECONDS)
         if ticket_by_life is None:
             gevent.sleep(RETRY_SECONDS)
             return True
@@ -139,7 +142,7 @@
             (life, Permission(ticket, until)) for life, ticket in ticket_by_life.items()
         )
         self.denied_until_by_step.setdefault(step_key, {}).update(
-            (life, sent_at + DENIED_SECONDS)
+            (life, sent_at + DENIAL_RETRY_SECONDS)
             for life in lives
             if life not in ticket_by_life
         )
@@ -150,9 +153,9 @@
         return True
 
     def candidates(self, step_key):
-        """Return the lives to ask about, those with the most room first.
+        """Return the minion incarnations to ask about, the least used first.
 
-        Beside permissions that hold, only those that have a place now.
+        If the step has valid permissions, only minions with free capacity count.
         """
         table = self.session.table
         pool = table.policy(table.job_by_id[step_key[0]]).pool
@@ -165,24 +168,24 @@
             if one.pool == pool
             and one.id not in known
             and now >= denied_until.get(one.id, 0.0)
-            and (not known or self.takes(step_key, one.id))
+            and (not known or self.has_capacity(step_key, one.id))
         ]
         minions.sort(key=lambda one: table.taken_by_minion[one.id].cpu_millicores)
         return [minion.id for minion in minions[:MINIONS_IN_CALL]]
 
     def permitted(self, step_key):
-        """Return the lives that may run a step, for a while to come."""
+        """Return the incarnations whose permission is valid for `MARGIN_SECONDS`."""
         soon = lease_seconds() + MARGIN_SECONDS
         permissions = self.permissions_by_step.get(step_key, {})
         return {life for life, one in permissions.items() if one.until > soon}
 
     def ticket(self, step_key, life):
-        """Return the ticket for a start, or None if there is none."""
+        """Return the ticket for a start, or None without a permission."""
         permission = self.permissions_by_step.get(step_key, {}).get(life)
         return permission.ticket if permission else None
 
     def forget(self):
-        """Forget the steps whose jobs have ended."""
+        """Delete the permissions of steps whose jobs have ended."""
         jobs = self.session.table.job_by_id
         for step_key in list(self.permissions_by_step):
             job = jobs.get(step_key[0])
--- a/hingepitch/jobs/queue.py
+++ b/hingepitch/jobs/queue.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.queue
 ~~~~~~~~~~~~~~~~~~~~~
 
-Queues of jobs: the replicated configuration that names them.
+Queues and pools for jobs, as defined by the replicated configuration.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -25,12 +25,12 @@
 
 @dataclass(frozen=True, slots=True)
 class AdviceTerms:
-    """What asking for permitted minions costs, and how long it holds.
+    """The latency and the validity of the adviser's permissions.
 
     `decide_ms`, `each_ms`
-        Time to decide on a step, and for each minion asked about.
+        Time that the adviser takes per step, and per minion in the request.
     `valid_ms`
-        How long a permission holds.
+        How long a permission is valid.
     """
 
     decide_ms: int = 0
@@ -45,14 +45,16 @@
     `pool`
         The pool whose minions run its tasks.
     `priority`
-        0 goes first.
+        Priority of its jobs; 0 is the highest.
     `attempts`
-        Runs of one task that may end as failed.
+        Number of failed runs of one task that fail its job.
     `stretch`, `objective_ms`
-        A job is in time within `objective_ms` plus `stretch` times its
-        longest chain of work.
+        A round is on time if it takes no longer than `objective_ms` plus
+        `stretch` times its critical path.
     `timeout_ms`
-        Longest time for the answer to one call.
+        Time limit for the answer to one call.
+    `advice`
+        Set if a step needs permission for each minion; None: not needed.
     """
 
     name: str
@@ -68,7 +70,7 @@
 
     @property
     def place(self):
-        """Host and prefix, which no two queues share."""
+        """Host and path prefix, which are unique to the queue."""
         return self.host, self.path_prefix
 
 
@@ -77,9 +79,9 @@
     """A pool of minions.
 
     `guards_room`
-        Its minions refuse what does not fit.
+        Whether its minions refuse tasks that exceed their capacity.
     `is_spare`
-        Its VMs are off and cost nothing.
+        Whether its VMs are switched off and cost nothing.
     """
 
     name: str
@@ -89,10 +91,10 @@
 
 @dataclass(frozen=True, slots=True)
 class QueueConfig:
-    """All queues and pools, as one versioned whole.
+    """All queues and pools, with a common version.
 
     `document`
-        The bytes as the operator sent them, for reading them back.
+        The document as the operator sent it, returned to readers.
     """
 
     version: int
@@ -106,21 +108,20 @@
 
 
 class QueueIndex:
-    """The queues of a configuration, found without a walk over all of them.
+    """An index of the queues of a configuration by host and path prefix.
 
-    A job asks for its queue on every replica: with 1,888 queues the walk took
-    95 us where the look here takes as many steps as a host has lengths of
-    prefixes.
+    Every replica looks up the queue of each accepted job. A scan of 1,888 queues
+    took 95 us; a lookup takes one step per distinct prefix length of the host.
 
     `pools`
-        Names of the pools that queues send their tasks to.
+        Names of the pools whose minions run tasks of the queues.
     """
 
     def __init__(self, queues=()):
-        self.queue_by_place = {queue.place: queue for queue in queues}
+        self.queue_by_route = {queue.place: queue for queue in queues}
         self.pools = {queue.pool for queue in queues}
         lengths_by_host = defaultdict(set)
-        for host, prefix in self.queue_by_place:
+        for host, prefix in self.queue_by_route:
             lengths_by_host[host].add(len(prefix))
         self.lengths_by_host = {
             host: sorted(lengths, reverse=True)
@@ -130,15 +131,15 @@
     def find(self, host, path):
         """Return the queue with the longest prefix of `path` at `host`, or None."""
         for length in self.lengths_by_host.get(host, ()):
-            # A shorter path stays whole: only the queue of just that path fits.
-            queue = self.queue_by_place.get((host, path[:length]))
+            # Slicing leaves a shorter path unchanged: it only matches exactly.
+            queue = self.queue_by_route.get((host, path[:length]))
             if queue is not None:
                 return queue
         return None
 
 
 def check_config(config):
-    """Raise `HingepitchError` (`bad_object`) unless `config` is coherent."""
+    """Raise `HingepitchError` (`bad_object`) unless `config` is consistent."""
     pools = {pool.name for pool in config.pools}
     if len(pools) != len(config.pools):
         raise HingepitchError("bad_object", "two pools share a name")
--- a/hingepitch/jobs/record.py
+++ b/hingepitch/jobs/record.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.record
 ~~~~~~~~~~~~~~~~~~~~~~
 
-The replicated records of jobs, runs, minions and upkeep waves.
+The replicated records of jobs, runs, minions and maintenance waves.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -30,7 +30,7 @@
 
 
 class JobStatus(enum.Enum):
-    """Where a job is in its life."""
+    """The state of a job."""
 
     PENDING = "pending"
     RUNNING = "running"
@@ -39,12 +39,12 @@
     CANCELLED = "cancelled"
 
 
-#: A job in one of these states starts nothing any more.
+#: States of an ended job, which starts no more runs.
 ENDED_STATUSES = frozenset((JobStatus.SUCCEEDED, JobStatus.FAILED, JobStatus.CANCELLED))
 
 
 class TaskStatus(enum.Enum):
-    """Where a task is: waiting for a run, having one, or done."""
+    """The state of a task: waiting for a run, placed in one, or done."""
 
     WAITING = "waiting"
     PLACED = "placed"
@@ -52,11 +52,11 @@
 
 
 class RunResult(enum.Enum):
-    """How a run ended.
+    """The result of a run.
 
-    `LAPSED`: its lease ran out. `BROKEN`: another member of its gang ended.
+    `LAPSED`: its lease expired. `BROKEN`: another member of its gang ended.
     `ALONE`: its gang did not assemble. `REFUSED`: it was never started.
-    `LOST`: it is surely over, but nobody told how it ended.
+    `LOST`: it is confirmed ended, but with an unknown result.
     """
 
     DONE = "done"
@@ -76,9 +76,9 @@
     `run`
         Number of its last run; 0 before the first.
     `failures`
-        Runs that ended as failed.
+        Number of runs that failed.
     `checkpoint`
-        Where the next run continues; empty: from the start.
+        Checkpoint from which the next run continues; empty: from the start.
     """
 
     status: TaskStatus = TaskStatus.WAITING
@@ -92,7 +92,7 @@
     """One execution of all steps of a job.
 
     `left_by_step`
-        Tasks that are not done, by step.
+        Number of tasks that are not done, by step.
     """
 
     tasks_by_step: list[list[Task]]
@@ -100,25 +100,26 @@
 
     @classmethod
     def of(cls, steps):
-        """Return a fresh round of `steps`."""
+        """Return a new round of `steps` with all tasks waiting."""
         tasks = [[Task() for _ in range(step.count)] for step in steps]
         return cls(tasks, [step.count for step in steps])
 
 
 @dataclass(slots=True)
 class JobRecord:
-    """A job that was accepted.
+    """An accepted job.
 
     `queue`
-        The queue as it stood when the job came.
+        The queue as configured when the job was accepted.
     `accepted_ms`
-        When, in milliseconds since the epoch, by the leader's clock.
+        Time of acceptance by the leader's clock, in milliseconds since the
+        epoch.
     `rounds_opened`, `rounds_done`
-        How many due times were begun, and ended.
+        Number of rounds that were begun, and that ended.
     `round_by_number`
-        The rounds that are not done.
+        The open rounds.
     `failure`
-        Why it failed, for operators.
+        Why the job failed, for operators.
     """
 
     id: str
@@ -134,18 +135,18 @@
 
     @property
     def is_open(self):
-        """Whether it may still start tasks."""
+        """Whether the job may still start tasks."""
         return self.status not in ENDED_STATUSES
 
     @property
     def rounds_wanted(self):
-        """How many rounds the job has in all."""
+        """The total number of rounds of the job."""
         return max(1, self.spec.times)
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A run that is recorded as started and not yet known to be over."""
+    """A run that is recorded as started and not yet confirmed ended."""
 
     task: TaskKey
     number: int
@@ -158,14 +159,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Minion:
-    """One life of a minion; a crash or a new pool makes another one.
+    """One incarnation of a minion; a crash or a move of pool begins a new one.
 
+    `id`
+        Identifier of the incarnation.
     `vm`
-        The VM it runs on; a VM has one life at a time.
+        The VM that the minion runs on; a VM has one incarnation at a time.
     `address`
         `IP:port` of its API.
     `sequence`
-        Which of its reports told this; a repetition of the same is no change.
+        Number of the report with these values; ignored in comparisons, so that
+        a repeated report is not a change.
     """
 
     id: str
@@ -183,15 +187,15 @@
 
     @property
     def kind(self):
-        """The kind of its VM: the first label."""
+        """The kind of the minion's VM: its first label, or empty."""
         return self.labels[0] if self.labels else ""
 
 
 class UpkeepStage(enum.Enum):
-    """How far the upkeep of one VM is.
+    """The stage of the maintenance of one VM.
 
-    `BEGUN`: recorded, the order may be on its way. `ORDERED`: the platform
-    has taken the order. `OVER`: the VM is back.
+    `BEGUN`: recorded; the order may have been sent. `ORDERED`: the platform
+    has accepted the order. `OVER`: the VM is back.
     """
 
     BEGUN = "begun"
@@ -201,13 +205,13 @@
 
 @dataclass(slots=True)
 class Wave:
-    """VMs that are due for upkeep, at most `max_down` at once.
+    """A set of VMs due for maintenance, at most `max_down` of them at once.
 
     `due_ms`
-        When the last of them should have begun, in milliseconds since the
-        epoch.
+        Time by which maintenance of the last VM should have begun, in
+        milliseconds since the epoch.
     `stage_by_vm`
-        Only the VMs whose upkeep has begun.
+        Stages of the VMs whose maintenance has begun.
     """
 
     number: int
@@ -218,16 +222,16 @@
 
     @property
     def vms_down(self):
-        """The VMs that may be down for their upkeep now."""
+        """The VMs that may be down for maintenance now."""
         return [vm for vm, at in self.stage_by_vm.items() if at is not UpkeepStage.OVER]
 
     @property
     def vms_waiting(self):
-        """The VMs whose upkeep has not begun."""
+        """The VMs whose maintenance has not begun."""
         return [vm for vm in self.vms if vm not in self.stage_by_vm]
 
     @property
     def is_done(self):
-        """Whether every VM has had its upkeep."""
+        """Whether the maintenance of every VM is over."""
         stages = self.stage_by_vm
         return all(stages.get(vm) is UpkeepStage.OVER for vm in self.vms)
--- a/hingepitch/jobs/rule.py
+++ b/hingepitch/jobs/rule.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.rule
 ~~~~~~~~~~~~~~~~~~~~
 
-The rules of the state machine for jobs: what may start, and what is over.
+The state machine rules that apply the commands for jobs, runs and minions.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -21,10 +21,10 @@
 from hingepitch.jobs.spec import check_spec
 from hingepitch.model.rule import Refusal, apply_command
 
-__all__ = ["start_fault"]
+__all__ = ["start_rejection"]
 
-#: Jobs that are not ended; beyond, new ones are refused. At 4 KB each they take
-#: 20 MB of memory.
+#: Limit of jobs that have not ended; new jobs above it are refused. At 4 KB each
+#: they use 20 MB of memory.
 MAX_OPEN_JOBS = 5000
 
 
@@ -78,7 +78,7 @@
 def _(command: commands.StartRuns, state, envelope, index):
     table = state.jobs
     for start in command.starts:
-        if not start_fault(table, start):
+        if not start_rejection(table, start):
             number = table.task(start.task).run + 1
             table.start_run(start, number, command.at_ms)
     for gang in command.gangs:
@@ -86,13 +86,13 @@
 
 
 def start_gang(table, gang, at_ms):
-    """Start all members of a gang under one run number, or none."""
-    if any(start_fault(table, start) for start in gang):
+    """Start all members of a gang with the same run number, or none."""
+    if any(start_rejection(table, start) for start in gang):
         return
     number = 1 + max(table.task(start.task).run for start in gang)
     started = []
     for start in gang:
-        if start_fault(table, start):
+        if start_rejection(table, start):
             break
         table.start_run(start, number, at_ms)
         started.append(start)
@@ -101,7 +101,7 @@
 
 
 def undo_gang(table, started, number):
-    """Take back the members of a gang that did not fit together."""
+    """Undo the starts of a gang that does not fit as a whole."""
     for start in started:
         table.drop_run(table.run_by_task[start.task])
         table.task(start.task).status = TaskStatus.WAITING
@@ -109,45 +109,47 @@
         table.index_step(job, start.task.round, start.task.step)
 
 
-def start_fault(table, start):
-    """Return why a run may not start, or an empty string."""
+def start_rejection(table, start):
+    """Return why a run may not start; empty if it may."""
     key = start.task
     job = table.job_by_id.get(key.job)
     minion = table.minion_by_id.get(start.minion)
     if job is None or not job.is_open:
         return "the job is not open"
     if minion is None or table.is_leaving(minion):
-        return "the minion is gone or leaving"
-    return task_fault(table, job, key) or place_fault(table, job, key, minion)
+        return "the minion is gone or is leaving"
+    return task_rejection(table, job, key) or placement_rejection(
+        table, job, key, minion
+    )
 
 
-def task_fault(table, job, key):
-    """Return why the turn of a task has not come, or an empty string."""
+def task_rejection(table, job, key):
+    """Return why a task is not ready to start; empty if it is ready."""
     opened = job.round_by_number.get(key.round)
     if opened is None:
         return "the round is not open"
     task = opened.tasks_by_step[key.step][key.index]
     if task.status is not TaskStatus.WAITING or key in table.run_by_task:
-        return "the task does not wait"
+        return "the task is not waiting"
     step = job.spec.steps[key.step]
     if any(opened.left_by_step[earlier] for earlier in step.after):
         return "an earlier step is not done"
     return ""
 
 
-def place_fault(table, job, key, minion):
-    """Return why a task may not run on a minion, or an empty string."""
+def placement_rejection(table, job, key, minion):
+    """Return why a task may not run on a minion; empty if it may."""
     step = job.spec.steps[key.step]
     if minion.pool != table.policy(job).pool:
-        return "the minion is of another pool"
+        return "the minion belongs to another pool"
     if step.required_label and step.required_label not in minion.labels:
-        return "the minion lacks the label"
+        return "the minion lacks the required label"
     if step.max_per_minion:
         carried = table.carried_by_step.get(key[:3], {}).get(minion.id, 0)
         if carried >= step.max_per_minion:
-            return "the minion carries enough of the step"
+            return "the minion runs max_per_minion tasks of the step"
     if not table.taken_by_minion[minion.id].fits(minion, step):
-        return "no room"
+        return "the minion has too little free capacity"
     return ""
 
 
@@ -184,8 +186,8 @@
     )
 
 
-def need_wave(state, number):
-    """Return a wave, or refuse."""
+def require_wave(state, number):
+    """Return the wave `number`; refuse (`unknown_object`) if there is none."""
     wave = state.jobs.wave_by_number.get(number)
     if wave is None:
         raise Refusal("unknown_object", f"no wave {number}")
@@ -194,10 +196,10 @@
 
 @apply_command.register
 def _(command: commands.BeginUpkeep, state, envelope, index):
-    wave = need_wave(state, command.number)
+    wave = require_wave(state, command.number)
     if command.vm not in wave.vms_waiting:
         raise Refusal("wrong_life", f"{command.vm} does not wait for upkeep")
-    check_free(state.jobs, command.vm)
+    check_vm_unused(state.jobs, command.vm)
     if len(wave.vms_down) >= wave.max_down:
         raise Refusal("budget_spent", f"{wave.max_down} VMs are down")
     wave.stage_by_vm[command.vm] = UpkeepStage.BEGUN
@@ -205,15 +207,15 @@
 
 @apply_command.register
 def _(command: commands.SettleUpkeep, state, envelope, index):
-    wave = need_wave(state, command.number)
+    wave = require_wave(state, command.number)
     if command.stage is None:
         wave.stage_by_vm.pop(command.vm, None)
     else:
         wave.stage_by_vm[command.vm] = command.stage
 
 
-def check_free(table, vm):
-    """Refuse unless nothing runs on a VM and nobody else takes it."""
+def check_vm_unused(table, vm):
+    """Refuse if a VM has runs or is already being moved or maintained."""
     if vm in table.move_by_vm or vm in table.vms_in_upkeep():
         raise Refusal("wrong_life", f"{vm} is being taken already")
     if table.runs_by_minion.get(table.life_by_vm.get(vm)):
@@ -222,7 +224,7 @@
 
 @apply_command.register
 def _(command: commands.BeginMove, state, envelope, index):
-    check_free(state.jobs, command.vm)
+    check_vm_unused(state.jobs, command.vm)
     state.jobs.move_by_vm[command.vm] = command.pool
 
 
--- a/hingepitch/jobs/spec.py
+++ b/hingepitch/jobs/spec.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.spec
 ~~~~~~~~~~~~~~~~~~~~
 
-What a caller asks for: a job of steps, a step of tasks.
+Job specifications: a job consists of steps, and a step of tasks.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -22,19 +22,19 @@
     "longest_chain_ms",
 ]
 
-#: Bounds of one job, so that a single one cannot fill the log or the memory.
+#: Limits of one job, so that a single job cannot fill the log or the memory.
 MAX_STEPS = 64
 MAX_TASKS = 4096
 MAX_TIMES = 100_000
 
 
 class TaskKey(NamedTuple):
-    """The name of a task.
+    """The key of a task.
 
     `round`
-        Which of the due times of a repeated job it belongs to, from 0.
+        Number of the execution of a repeated job, from 0.
     `step`, `index`
-        Its step within the job, its place within the step, from 0.
+        Number of the step within the job and of the task within the step, from 0.
     """
 
     job: str
@@ -45,37 +45,42 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """Tasks of one shape that may run side by side.
+    """A number of tasks with equal requirements that may run in parallel.
 
+    `count`
+        Number of tasks.
     `cpu_millicores`, `memory_mb`, `accelerators`
-        What each task asks for.
+        Resources that each task requests.
     `estimate_ms`
         The caller's rough estimate of a task's run time.
     `after`
-        Steps all of whose tasks must be done first.
+        Numbers of the steps that must be done first.
     `image`
-        What the tasks run; tasks of one image behave alike.
+        The image that the tasks run; tasks of one image behave alike.
     `gang`
-        The tasks only work when all of them are present.
-    `same_rack`, `data_rack`
-        The tasks are faster in one rack; near the rack that has their data.
+        Whether the tasks work only when all of them run at the same time.
+    `same_rack`
+        Whether the tasks are faster in one rack.
+    `data_rack`
+        The rack that holds the tasks' data; they are faster near it. Empty: none.
     `required_label`
         Label that a minion must have; empty: none.
     `max_per_minion`
-        Tasks of the step that one minion may carry; 0: any number.
+        Number of tasks of the step that one minion may run at once; 0: no limit.
     `allows_copies`
-        Copies of one task may run side by side.
+        Whether copies of one task may run at the same time.
     `lasts`
-        The tasks serve until the job is cancelled.
+        Whether the tasks are long-running: they serve until the job is cancelled.
     `fills_spare_cpu`
-        The tasks take processor time that others leave; room for it is not
-        counted.
+        Whether the tasks use only processor time that others leave, so that
+        their processor request does not count against capacity.
     `max_away`
-        Lasting tasks that may be away at once through this system.
+        Disruption budget: number of long-running tasks that this system may
+        make unavailable at once.
     `saves_progress`
-        The tasks write checkpoints.
+        Whether the tasks write checkpoints.
     `target_ms`
-        Largest tail latency wanted of a task that serves; 0: none.
+        Upper limit wanted for the tail latency of a serving task; 0: none.
     """
 
     count: int
@@ -99,21 +104,21 @@
 
     @property
     def counted_millicores(self):
-        """Millicores that a task takes from the room of its minion."""
+        """Millicores that a task uses of its minion's capacity."""
         return 0 if self.fills_spare_cpu else self.cpu_millicores
 
 
 @dataclass(frozen=True, slots=True)
 class JobSpec:
-    """A job as its caller handed it in.
+    """A job as its caller submitted it.
 
     `payload`
-        Text that is handed to the minions unread.
+        Text that is passed to the minions uninterpreted.
     `times`
-        How often the steps run; 0: once, at once.
+        Number of rounds of a repeated job; 0: run the steps once, immediately.
     `first_due_ms`, `interval_ms`
-        When the first of the times is due, in milliseconds since the epoch,
-        and the time between two of them.
+        Due time of the first round, in milliseconds since the epoch, and the
+        interval between rounds, in milliseconds.
     """
 
     payload: str
@@ -138,7 +143,7 @@
 
 
 def check_step(number, step):
-    """Raise `HingepitchError` (`bad_job`) unless step `number` makes sense."""
+    """Raise `HingepitchError` (`bad_job`) unless step `number` is valid."""
     sizes = (step.cpu_millicores, step.memory_mb, step.accelerators, step.estimate_ms)
     if step.count < 1:
         raise HingepitchError("bad_job", f"step {number}: no tasks")
@@ -149,10 +154,10 @@
 
 
 def longest_chain_ms(steps, expected_ms):
-    """Return the run time of the longest chain of `steps`.
+    """Return the length of the critical path through `steps`, in milliseconds.
 
     `expected_ms`
-        Function from a step to the time of one of its tasks.
+        Function that maps a step to the expected run time of one of its tasks.
     """
     ends = []
     for step in steps:
@@ -162,7 +167,7 @@
 
 
 def chain_from_ms(steps, first, expected_ms):
-    """Return the run time of the longest chain that starts at `first`."""
+    """Return the length of the critical path from step `first`, in milliseconds."""
     ends = {first: expected_ms(steps[first])}
     for number in range(first + 1, len(steps)):
         begins = [ends[earlier] for earlier in steps[number].after if earlier in ends]
@@ -172,5 +177,5 @@
 
 
 def format_task(key):
-    """Return the name of a task, as log lines and minions have it."""
+    """Return the name of a task, as used in log lines and by minions."""
     return f"{key.job}.{key.round}.{key.step}.{key.index}"
--- a/hingepitch/jobs/table.py
+++ b/hingepitch/jobs/table.py
@@ -2,8 +2,9 @@
 hingepitch.jobs.table
 ~~~~~~~~~~~~~~~~~~~~~
 
-The replicated state of jobs, with the indices that decisions need. Like
-the rest of the state machine it reads no clock and no randomness.
+The replicated state of jobs, with the indices that scheduling needs. Like
+the rest of the state machine it is deterministic: it reads neither the clock
+nor random numbers.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -30,44 +31,45 @@
 )
 from hingepitch.jobs.spec import format_task
 
-__all__ = ["JobTable", "Room", "StepKey", "TableContent", "lost_end"]
+__all__ = ["JobTable", "Room", "StepKey", "TableContent", "lost_run_end"]
 
-#: Ended jobs are kept at least so long, for their callers' questions, and
-#: then only so many of them, in milliseconds: twice the 120 s that callers may
-#: count on, for clocks that differ.
+#: How long an ended job is kept for status requests, in milliseconds: twice the
+#: 120 s that callers may count on, to allow for clock differences. Above
+#: `MAX_ENDED_JOBS` the oldest ended jobs are deleted earlier.
 ENDED_JOB_RETENTION_MS = 240_000
 MAX_ENDED_JOBS = 20_000
 
-#: Jobs remembered for the leader's measure of what arrives.
+#: Arrived jobs that are kept for the leader's measurement of the arrival rate.
 MAX_ARRIVED_JOBS = 256
 
-#: Lives of minions that are over and must not come back by a late message.
+#: Ended minion incarnations that are kept so that a delayed message cannot
+#: register one of them again.
 MAX_ENDED_LIVES = 4096
 
-#: A task that lasts and ran for so long does not crash its minions, in
-#: milliseconds.
-PROVEN_MS = 10_000
+#: A long-running task that has run for this long, in milliseconds, is no longer
+#: suspected of crashing minions.
+STABLE_RUN_MS = 10_000
 
-#: Job, round and step.
+#: Job id, round number and step number.
 StepKey = tuple[str, int, int]
 
 
 @dataclass(slots=True)
 class Room:
-    """What the runs on a minion take."""
+    """The resources that the runs on a minion use."""
 
     cpu_millicores: int = 0
     memory_mb: int = 0
     accelerators: int = 0
 
     def add(self, run, sign=1):
-        """Count a run in, or out with `sign` -1."""
+        """Add the resources of a run, or subtract them with `sign` -1."""
         self.cpu_millicores += sign * run.counted_millicores
         self.memory_mb += sign * run.memory_mb
         self.accelerators += sign * run.accelerators
 
     def fits(self, minion, step):
-        """Whether one more task of `step` fits on `minion`."""
+        """Whether `minion` has free capacity for one more task of `step`."""
         return (
             self.cpu_millicores + step.counted_millicores <= minion.cpu_millicores
             and self.memory_mb + step.memory_mb <= minion.memory_mb
@@ -75,7 +77,7 @@
         )
 
     def exceeds(self, minion):
-        """Whether the runs take more than `minion` has now."""
+        """Whether the runs use more than the present capacity of `minion`."""
         return (
             self.cpu_millicores > minion.cpu_millicores
             or self.memory_mb > minion.memory_mb
@@ -84,7 +86,7 @@
 
 
 class TableContent(msgspec.Struct):
-    """What a snapshot holds of a `JobTable`."""
+    """The content of a `JobTable` in a snapshot."""
 
     config: QueueConfig | None
     jobs: list[JobRecord]
@@ -98,28 +100,33 @@
 
 
 class JobTable:
-    """Jobs, runs, minions and waves.
+    """Jobs, runs, minions and maintenance waves, with their indices.
 
     `queues`
-        The `QueueIndex` of the configuration in force.
+        The `QueueIndex` of the current configuration.
     `ready_steps`
         Steps whose predecessors are done and that have waiting tasks, in the
         order in which they became ready.
     `repeated_jobs`
-        Open jobs with due times that were not begun.
+        Open jobs with rounds that have not been opened.
     `taken_by_minion`
-        The room that runs take, by life of a minion.
+        The `Room` that runs use, by minion incarnation.
+    `carried_by_step`
+        The number of runs by minion incarnation, by step.
     `touched_minions`
-        Lives whose runs, or the jobs of their runs, have changed; the leader
-        empties it.
+        Minion incarnations whose runs, or the jobs of their runs, have changed;
+        the leader empties it.
     `move_by_vm`
-        The pool to which a VM is being moved.
+        The target pool of each VM that is being moved.
+    `pending_by_place`
+        The number of pending jobs, by host and path prefix of the queue.
     `arrived_jobs`
-        Jobs accepted since the leader last asked, the latest ones only.
+        Jobs accepted since the last `take_arrived_jobs`, at most the latest
+        `MAX_ARRIVED_JOBS`.
     `crashes`
         The `CrashBook`.
     `has_had_work`
-        Whether a job with tasks that end by themselves was seen.
+        Whether a job with tasks that are not long-running was ever accepted.
     """
 
     def __init__(self):
@@ -144,19 +151,15 @@
         self.crashes = CrashBook()
         self.has_had_work = False
 
-    # Queues.
-
     def put_config(self, config):
-        """Take a configuration, or None before the first one."""
+        """Set the configuration; None before the first one."""
         self.config = config
         self.queues = QueueIndex(config.queues if config is not None else ())
 
-    # Jobs.
-
     def add_job(self, job):
-        """Add an accepted job; its first round opens unless it has due times."""
+        """Add an accepted job; open its first round unless it has due times."""
         self.job_by_id[job.id] = job
-        self.note_work(job)
+        self.note_batch_job(job)
         self.arrived_jobs.append(job.id)
         self.pending_by_place[job.queue.place] += 1
         if job.spec.times:
@@ -164,19 +167,19 @@
         else:
             self.open_round(job)
 
-    def note_work(self, job):
-        """Note whether `job` has tasks that end by themselves."""
+    def note_batch_job(self, job):
+        """Set `has_had_work` if `job` has tasks that are not long-running."""
         if not self.has_had_work:
             self.has_had_work = any(not step.lasts for step in job.spec.steps)
 
     def take_arrived_jobs(self):
-        """Return the ids of the jobs that came since the last call."""
+        """Return the ids of the jobs accepted since the last call."""
         arrived = list(self.arrived_jobs)
         self.arrived_jobs.clear()
         return arrived
 
     def open_round(self, job):
-        """Begin the next round of `job`."""
+        """Open the next round of `job`."""
         number = job.rounds_opened
         job.rounds_opened += 1
         job.round_by_number[number] = Round.of(job.spec.steps)
@@ -185,12 +188,12 @@
         self.index_round(job, number)
 
     def index_round(self, job, number):
-        """Refresh the index of ready steps for one round."""
+        """Update the index of ready steps for one round."""
         for step in range(len(job.spec.steps)):
             self.index_step(job, number, step)
 
     def index_step(self, job, number, step):
-        """Refresh the index of ready steps for one step of a round."""
+        """Update the index of ready steps for one step of a round."""
         key = (job.id, number, step)
         if self.is_ready(job, number, step):
             self.ready_steps.setdefault(key)
@@ -198,7 +201,7 @@
             self.ready_steps.pop(key, None)
 
     def is_ready(self, job, number, step):
-        """Whether a step has waiting tasks whose turn has come."""
+        """Whether a step has waiting tasks and all earlier steps are done."""
         opened = job.round_by_number.get(number)
         if not job.is_open or opened is None or not opened.left_by_step[step]:
             return False
@@ -208,8 +211,8 @@
         return any(task.status is TaskStatus.WAITING for task in tasks)
 
     def end_job(self, job, status, at_ms):
-        """End `job`; its runs stay until each is over."""
-        self.note_begun(job)
+        """End `job`; its runs stay recorded until each is confirmed ended."""
+        self.mark_running(job)
         job.status = status
         job.ended_ms = at_ms
         for number in job.round_by_number:
@@ -222,14 +225,14 @@
             run.minion for run in self.run_by_task.values() if run.task.job == job.id
         )
 
-    def note_begun(self, job):
-        """Count `job` as begun, once."""
+    def mark_running(self, job):
+        """Mark a pending `job` as running."""
         if job.status is JobStatus.PENDING:
             job.status = JobStatus.RUNNING
             self.pending_by_place[job.queue.place] -= 1
 
     def forget_ended_jobs(self, now_ms):
-        """Forget the jobs that ended long ago, the oldest first."""
+        """Delete the ended jobs whose retention has expired, the oldest first."""
         while self.ended_jobs:
             job_id, ended_ms = next(iter(self.ended_jobs.items()))
             too_many = len(self.ended_jobs) > MAX_ENDED_JOBS
@@ -239,8 +242,11 @@
             del self.job_by_id[job_id]
 
     def policy(self, job):
-        """Return the queue of `job` as configured now, or as it was."""
-        return self.queues.queue_by_place.get(job.queue.place, job.queue)
+        """Return the queue of `job` as configured now.
+
+        A queue that is no longer configured applies as it was at acceptance.
+        """
+        return self.queues.queue_by_route.get(job.queue.place, job.queue)
 
     def task(self, key):
         """Return the task `key`, or None if its round is not open."""
@@ -248,10 +254,8 @@
         opened = job and job.round_by_number.get(key.round)
         return opened.tasks_by_step[key.step][key.index] if opened else None
 
-    # Runs.
-
     def add_run(self, run):
-        """Add a run that may be going on."""
+        """Add a run that may be active."""
         step = run.task[:3]
         self.run_by_task[run.task] = run
         self.touched_minions.add(run.minion)
@@ -260,7 +264,7 @@
         self.carried_by_step.setdefault(step, Counter())[run.minion] += 1
 
     def drop_run(self, run):
-        """Remove a run that is surely over."""
+        """Remove a run that is confirmed ended."""
         step = run.task[:3]
         del self.run_by_task[run.task]
         self.touched_minions.add(run.minion)
@@ -274,13 +278,13 @@
             del self.carried_by_step[step]
 
     def start_run(self, start, number, at_ms):
-        """Record one more run of a task."""
+        """Record a new run of a task."""
         job = self.job_by_id[start.task.job]
         step = job.spec.steps[start.task.step]
         task = self.task(start.task)
         task.status = TaskStatus.PLACED
         task.run = number
-        self.note_begun(job)
+        self.mark_running(job)
         self.add_run(
             Run(
                 task=start.task,
@@ -295,7 +299,7 @@
         self.index_step(job, start.task.round, start.task.step)
 
     def end_run(self, end, at_ms):
-        """Record that a run is over; one that is not recorded is ignored."""
+        """Record the end of a run; ignore a run that is not recorded."""
         run = self.run_by_task.get(end.task)
         if run is None or (run.number, run.minion) != (end.number, end.minion):
             return
@@ -305,59 +309,61 @@
         if job is None or task is None or task.status is not TaskStatus.PLACED:
             return
         task.status = TaskStatus.WAITING
-        self.note_proven(job, run, at_ms)
+        self.forget_crashes_if_stable(job, run, at_ms)
         if end.checkpoint:
             self.keep_checkpoint(job, end)
         if end.result is RunResult.DONE:
             self.finish_task(job, end)
         elif end.result is RunResult.FAILED:
-            self.note_failure(job, end, at_ms)
+            self.record_failure(job, end, at_ms)
         if job.is_open:
             self.index_step(job, end.task.round, end.task.step)
             self.finish_job(job, at_ms)
 
-    def note_proven(self, job, run, at_ms):
-        """Forget the crashes under a task that lasts and was at work for long."""
+    def forget_crashes_if_stable(self, job, run, at_ms):
+        """Delete the crash record of a long-running task that ran long enough."""
         step = job.spec.steps[run.task.step]
-        if step.lasts and at_ms - run.started_ms >= PROVEN_MS:
+        if step.lasts and at_ms - run.started_ms >= STABLE_RUN_MS:
             self.crashes.forget_task(run.task)
 
-    def siblings(self, job, key):
-        """Return the tasks that share the fate of `key`: its gang, or itself."""
+    def gang_tasks(self, job, key):
+        """Return the tasks of the gang of `key`, or just the task itself."""
         tasks = job.round_by_number[key.round].tasks_by_step[key.step]
         return tasks if job.spec.steps[key.step].gang else [tasks[key.index]]
 
     def keep_checkpoint(self, job, end):
-        """Keep where the task, or its whole gang, continues."""
-        for task in self.siblings(job, end.task):
+        """Store the checkpoint from which the task, or its gang, continues."""
+        for task in self.gang_tasks(job, end.task):
             task.checkpoint = end.checkpoint
 
     def finish_task(self, job, end):
-        """Mark a task as done, or its whole gang; one that lasts waits again."""
+        """Mark a task or its gang as done; a long-running task waits again."""
         if job.spec.steps[end.task.step].lasts:
             return
         opened = job.round_by_number[end.task.round]
         self.crashes.forget_task(end.task)
-        for task in self.siblings(job, end.task):
+        for task in self.gang_tasks(job, end.task):
             if task.run == end.number and task.status is not TaskStatus.DONE:
                 task.status = TaskStatus.DONE
                 opened.left_by_step[end.task.step] -= 1
         if not opened.left_by_step[end.task.step]:
             self.index_round(job, end.task.round)
 
-    def note_failure(self, job, end, at_ms):
-        """Count a failure, once for a gang; too many of them fail the job."""
+    def record_failure(self, job, end, at_ms):
+        """Count a failure, once per gang; fail the job after too many."""
         step = job.spec.steps[end.task.step]
         if step.lasts:
             return
-        counted = self.siblings(job, end.task)[0] if step.gang else self.task(end.task)
+        counted = (
+            self.gang_tasks(job, end.task)[0] if step.gang else self.task(end.task)
+        )
         counted.failures += 1
         if counted.failures >= self.policy(job).attempts:
             job.failure = f"{format_task(end.task)} failed {counted.failures} times"
             self.end_job(job, JobStatus.FAILED, at_ms)
 
     def finish_job(self, job, at_ms):
-        """Close the rounds that are done, and the job after its last one."""
+        """Close the rounds that are done, and the job after its last round."""
         done = [
             number
             for number, opened in job.round_by_number.items()
@@ -369,21 +375,20 @@
         if job.rounds_done == job.rounds_wanted:
             self.end_job(job, JobStatus.SUCCEEDED, at_ms)
 
-    # Minions.
-
     def put_minion(self, minion, at_ms):
-        """Add a life of a minion; it ends the life before on the same VM."""
+        """Add or update a minion incarnation; end the previous one on its VM."""
         if minion.id in self.ended_lives:
             return
         known = self.minion_by_id.get(minion.id)
         if known is not None and minion.sequence < known.sequence:
-            # Held back on its way: its room may have shrunk since.
+            # A delayed report: the capacity may have shrunk since.
             return
         if known is not None and known.is_draining:
-            # Final for a life: a message that says otherwise was held back.
+            # Draining is final for an incarnation: this report was delayed.
             minion = replace(minion, is_draining=True)
         if known is not None and self.life_by_vm.get(known.vm) == known.id:
-            # It may name another VM now, and is not found there once it ends.
+            # The report may name another VM; a leftover index entry of the old VM
+            # would not be removed when the incarnation ends.
             del self.life_by_vm[known.vm]
         before = self.life_by_vm.get(minion.vm)
         if before is not None and before != minion.id:
@@ -396,14 +401,14 @@
         self.taken_by_minion.setdefault(minion.id, Room())
 
     def remove_minion(self, life, at_ms):
-        """End a life of a minion, and all its runs; count the crash under them."""
+        """End a minion incarnation and its runs; record a crash unless planned."""
         minion = self.minion_by_id.pop(life, None)
         if minion is None:
             return
         blame = self.crashes.acquit(life)
         is_planned = self.is_leaving(minion)
         for run in list(self.runs_by_minion.get(life, {}).values()):
-            self.end_run(lost_end(run), at_ms)
+            self.end_run(lost_run_end(run), at_ms)
         self.runs_by_minion.pop(life, None)
         self.taken_by_minion.pop(life, None)
         if self.life_by_vm.get(minion.vm) == life:
@@ -412,35 +417,35 @@
         while len(self.ended_lives) > MAX_ENDED_LIVES:
             del self.ended_lives[next(iter(self.ended_lives))]
         if not is_planned:
-            self.charge_crash(blame, minion.vm, at_ms)
+            self.record_crash(blame, minion.vm, at_ms)
 
-    def charge_crash(self, blame, vm, at_ms):
-        """Count a crash under the tasks of open jobs; give up those that did it.
+    def record_crash(self, blame, vm, at_ms):
+        """Count a crash against exposed tasks; fail the jobs that reach a crash limit.
 
-        Nothing else bounds how often a task is started that takes its minion
-        away: a lost run is no failure of the task, for most are lost by chance.
+        Nothing else bounds the restarts of a task that crashes its minions: a
+        lost run does not count as a failure, as most are lost for other reasons.
         """
         for key in blame.exposed:
             if self.task(key) is None:
                 continue
-            record = self.crashes.charge(key, blame, vm)
-            if record.is_proof:
+            record = self.crashes.add_crash(key, blame, vm)
+            if record.is_conclusive:
                 job = self.job_by_id[key.job]
                 job.failure = f"{format_task(key)} {record}"
                 self.end_job(job, JobStatus.FAILED, at_ms)
 
     def vms_in_upkeep(self):
-        """Return the VMs whose upkeep has begun and is not over."""
+        """Return the VMs whose maintenance has begun and is not over."""
         waves = self.wave_by_number.values()
         return {vm for wave in waves for vm in wave.vms_down}
 
     def vms_due(self):
-        """Return the VMs whose upkeep has not begun."""
+        """Return the VMs of all waves whose maintenance has not begun."""
         waves = self.wave_by_number.values()
         return {vm for wave in waves for vm in wave.vms_waiting}
 
     def is_leaving(self, minion):
-        """Whether a minion drains, or its VM is being taken from it."""
+        """Whether a minion drains, or its VM is being moved or maintained."""
         if minion.is_draining or minion.vm in self.move_by_vm:
             return True
         return any(
@@ -448,10 +453,8 @@
             for wave in self.wave_by_number.values()
         )
 
-    # Snapshots.
-
     def to_content(self):
-        """Return what a snapshot holds."""
+        """Return the `TableContent` for a snapshot."""
         crashes, silent_lives = self.crashes.to_content()
         return TableContent(
             config=self.config,
@@ -467,7 +470,7 @@
 
     @classmethod
     def from_content(cls, content):
-        """Return the table that a snapshot holds."""
+        """Return the table restored from a `TableContent`."""
         table = cls()
         table.put_config(content.config)
         for minion in content.minions:
@@ -486,9 +489,9 @@
         return table
 
     def restore_job(self, job):
-        """Add a job of a snapshot, with its indices."""
+        """Add a job of a snapshot and its index entries."""
         self.job_by_id[job.id] = job
-        self.note_work(job)
+        self.note_batch_job(job)
         if job.status is JobStatus.PENDING:
             self.pending_by_place[job.queue.place] += 1
         if job.is_open and job.rounds_opened < job.rounds_wanted:
@@ -497,6 +500,6 @@
             self.index_round(job, number)
 
 
-def lost_end(run):
-    """Return the end of a run of which nobody told how it ended."""
+def lost_run_end(run):
+    """Return the `RunEnd` of a run whose result is not known."""
     return RunEnd(run.task, run.number, run.minion, RunResult.LOST)
--- a/hingepitch/jobs/terms.py
+++ b/hingepitch/jobs/terms.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.terms
 ~~~~~~~~~~~~~~~~~~~~~
 
-What dispatching may rely on: the terms of the minions' protocol.
+Timing parameters of dispatching, which follow from the minion protocol.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -17,28 +17,29 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatchTerms:
-    """What the minions' protocol allows, and what is chosen within it.
+    """Limits set by the minion protocol, and values chosen within them.
 
     `lease_seconds`
-        Lease that each look and start gives.
+        Duration of the lease that each poll and each start grants.
     `drift`
-        Part by which a minion's steady clock may be slower than ours.
+        Fraction by which a minion's monotonic clock may run slower than the
+        leader's.
     `lapse_seconds`
-        How late a minion may notice that its lease is over.
+        Longest delay until a minion notices that its lease has expired.
     `beat_seconds`
-        Time between two beats of a minion.
+        Interval between two heartbeats of a minion.
     `look_wait_ms`
-        How long a look waits at the minion for an end.
+        How long a long poll waits at the minion for the end of a run.
     `early_ms`
-        A due time may begin this much early.
+        How long before its due time a round may be opened.
     `upkeep_seconds`
-        How long a VM is down for its upkeep.
+        How long a VM is down for maintenance.
     `move_seconds`
-        How long a VM is away while it changes pool.
+        How long a VM is unavailable while it changes pool.
     `far_factor`
-        How many times as long tasks take that want one rack and have not.
+        Factor by which tasks that prefer one rack are slower across racks.
     `pools`
-        When VMs change pool.
+        The `PoolTerms`, which decide when VMs change pool.
     """
 
     lease_seconds: float = 6.0
@@ -54,5 +55,5 @@
 
     @property
     def lease_until_over_seconds(self):
-        """Time on our clock until a lease given now is surely over."""
+        """Leader-clock seconds until a lease granted now is certain to have expired."""
         return self.lease_seconds * (1 + self.drift) + self.lapse_seconds
