--- a/hingepitch/jobs/table.py
+++ b/hingepitch/jobs/table.py
@@ -445,7 +445,7 @@
         return {vm for wave in waves for vm in wave.vms_waiting}
 
     def is_leaving(self, minion):
-        """Whether a minion drains, or its VM is being moved or maintained."""
+        """Whether a minion drains or its VM is reserved for a move or maintenance."""
         if minion.is_draining or minion.vm in self.move_by_vm:
             return True
         return any(
