--- a/hingepitch/jobs/plan.py
+++ b/hingepitch/jobs/plan.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.plan
 ~~~~~~~~~~~~~~~~~~~~
 
-Which waiting tasks start where: pure functions over the job table.
+Placement of waiting tasks on minions: pure functions over the job table.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -25,29 +25,32 @@
 
 @dataclass(slots=True)
 class Outlook:
-    """What the leader knows beyond the table.
+    """Inputs of a planning pass that the job table does not hold.
 
+    `now_ms`
+        The current time, in milliseconds since the epoch.
     `usable`
-        Lives of minions that may take new runs now.
-    `doubt_by_minion`
-        How much a minion is to be avoided, 0 to 1, by what it did lately.
+        Incarnations of minions that may take new runs now.
+    `penalty_by_minion`
+        Placement penalty of each incarnation, from 0 (none) to 1, from its
+        recent failures.
     `permitted_by_step`
-        Lives that may run a step, where its queue needs permission.
+        Incarnations that may run a step, for queues that require permission.
     `durations`
-        What is known of the run times.
+        Expected run times.
     `far_factor`
-        How many times as long tasks take that want one rack and have not.
+        Slowdown of the tasks of a `same_rack` step that are spread over racks.
     `rack_waited_ms_by_step`
-        How long steps have waited that want one rack.
+        How long each `same_rack` step has waited for a rack.
     `suspects`
-        Where tasks run that may crash their minions.
+        Where tasks run that are suspected of crashing their minions.
     `paused`
-        Tasks that are not to be started yet.
+        Tasks that must not be started yet.
     """
 
     now_ms: int
     usable: set[str]
-    doubt_by_minion: dict[str, float] = field(default_factory=dict)
+    penalty_by_minion: dict[str, float] = field(default_factory=dict)
     permitted_by_step: dict[tuple, set[str]] = field(default_factory=dict)
     durations: Durations = field(default_factory=Durations)
     far_factor: float = 2.0
@@ -57,24 +60,24 @@
 
 
 @dataclass
-class Pass:
-    """The working copy of one planning pass."""
+class PlanningPass:
+    """Working state of one planning pass: the table plus the planned starts."""
 
     table: object
     outlook: Outlook
     minions_by_pool: dict[str, list] = field(default_factory=dict)
-    room_by_minion: dict[str, Room] = field(default_factory=dict)
+    used_by_minion: dict[str, Room] = field(default_factory=dict)
     placed_by_step: dict[tuple, dict[str, int]] = field(default_factory=dict)
     too_large_by_pool: dict[str, list] = field(default_factory=dict)
 
     @cached_property
     def isolation(self):
-        """Keeps tasks apart under which minions have crashed."""
+        """The `Isolation` that keeps suspected tasks apart in this pass."""
         return Isolation(self.table, self.outlook.suspects)
 
     @cached_property
     def vms_due(self):
-        """The VMs whose upkeep is still ahead."""
+        """The VMs whose maintenance is still to come."""
         return self.table.vms_due()
 
     def minions(self, pool):
@@ -87,45 +90,45 @@
         return self.minions_by_pool.get(pool, [])
 
     def room(self, minion):
-        """Return the room taken on a minion, as this pass would leave it."""
-        taken = self.room_by_minion.get(minion.id)
+        """Return the resources used on a minion, planned starts included."""
+        taken = self.used_by_minion.get(minion.id)
         if taken is None:
             taken = replace(self.table.taken_by_minion[minion.id])
-            self.room_by_minion[minion.id] = taken
+            self.used_by_minion[minion.id] = taken
         return taken
 
-    def carried(self, step_key):
-        """Return how many tasks of a step each minion carries in this pass."""
+    def task_counts(self, step_key):
+        """Return the number of tasks of a step by minion, planned starts included."""
         counts = self.placed_by_step.get(step_key)
         if counts is None:
             counts = dict(self.table.carried_by_step.get(step_key, {}))
             self.placed_by_step[step_key] = counts
         return counts
 
-    def take(self, step_key, step, minion):
-        """Count one more task of `step` on `minion`."""
+    def reserve(self, step_key, step, minion):
+        """Reserve resources on `minion` for one more task of `step`."""
         room = self.room(minion)
         room.cpu_millicores += step.counted_millicores
         room.memory_mb += step.memory_mb
         room.accelerators += step.accelerators
-        counts = self.carried(step_key)
+        counts = self.task_counts(step_key)
         counts[minion.id] = counts.get(minion.id, 0) + 1
 
-    def give_back(self, step_key, step, minion):
-        """Undo `take`."""
+    def release(self, step_key, step, minion):
+        """Release the resources that `reserve` took for one task."""
         self.too_large_by_pool.pop(minion.pool, None)
         room = self.room(minion)
         room.cpu_millicores -= step.counted_millicores
         room.memory_mb -= step.memory_mb
         room.accelerators -= step.accelerators
-        self.carried(step_key)[minion.id] -= 1
+        self.task_counts(step_key)[minion.id] -= 1
 
     def is_too_large(self, pool, step):
-        """Whether no minion of a pool is known to have room for `step`.
+        """Whether this pass has already found no free capacity for such a step.
 
-        Protects a leader from its backlog: a pass that looked for room for
-        each of 999 steps that waited took 47 ms to start nothing, and other
-        pools waited for it.
+        True if a step that needs no more than `step` did not fit in the pool.
+        Without this check a pass over a backlog of 999 waiting steps took
+        47 ms to start nothing, and delayed the other pools.
         """
         return any(
             step.counted_millicores >= other.counted_millicores
@@ -135,17 +138,22 @@
         )
 
     def note_too_large(self, pool, step):
-        """Note that no minion of a pool has room for one more of `step`.
+        """Record that no minion of a pool has capacity for a task of `step`.
 
-        Only of a step that any minion of the pool could take. It holds for the
-        rest of the pass, which only takes room, until a gang gives some back.
+        Only valid for a step without placement restrictions. The record holds
+        for the rest of the pass, since capacity only shrinks, unless a gang
+        that does not fit releases its reservations.
         """
         self.too_large_by_pool.setdefault(pool, []).append(step)
 
 
 def plan_starts(table, outlook):
-    """Return `(starts, gangs)`: what should start now, the most urgent first."""
-    work = Pass(table, outlook)
+    """Return `(starts, gangs)` to order now, the most urgent first.
+
+    `starts` holds a `Start` for each single task, `gangs` a tuple of `Start`
+    for each gang.
+    """
+    work = PlanningPass(table, outlook)
     starts = []
     gangs = []
     for job, round_number, step_number in order_steps(table, outlook):
@@ -160,7 +168,7 @@
 
 
 def order_steps(table, outlook):
-    """Return `(job, round, step)` of the ready steps, the most urgent first."""
+    """Return `(job, round number, step number)` of the ready steps by urgency."""
     steps = [
         (table.job_by_id[job], number, step) for job, number, step in table.ready_steps
     ]
@@ -171,8 +179,8 @@
 def urgency(table, outlook, job, round_number, step_number):
     """Return the sort key of a ready step.
 
-    Priority first, then tasks that serve, then the jobs that can still be in
-    time by their deadline, then the others.
+    Orders by priority, then long-running tasks before others, then jobs that
+    can still meet their deadline before late ones, then by deadline.
     """
     policy = table.policy(job)
     step = job.spec.steps[step_number]
@@ -183,7 +191,7 @@
 
 
 def place_step(work, job, key):
-    """Yield the starts of one step that fit now; a gang starts whole."""
+    """Yield the starts of one step that fit now; a gang starts all or nothing."""
     _, round_number, step_number = key
     step = job.spec.steps[step_number]
     pool = work.table.policy(job).pool
@@ -203,15 +211,15 @@
     if step.gang and len(starts) < step.count:
         for start in starts:
             minion = work.table.minion_by_id[start.minion]
-            work.give_back(key, step, minion)
+            work.release(key, step, minion)
         return
     yield from starts
 
 
 def place_tasks(work, job, key, indexes):
-    """Yield a start for each of `indexes` as long as a minion has room."""
+    """Yield a start for each of the task `indexes` until no minion fits."""
     step = job.spec.steps[key[2]]
-    candidates = list(eligible(work, job, key, step))
+    candidates = list(eligible_minions(work, job, key, step))
     if step.same_rack:
         candidates = minions_for_one_rack(work, job, key, candidates, len(indexes))
     for index in work.isolation.suspects_first(key, indexes):
@@ -227,13 +235,13 @@
             if is_unrestricted(policy, step):
                 work.note_too_large(policy.pool, step)
             return
-        work.take(key, step, minion)
+        work.reserve(key, step, minion)
         work.isolation.note_start(task, step, minion)
         yield Start(task, minion.id)
 
 
-def eligible(work, job, key, step):
-    """Yield the minions that may run tasks of a step, room aside."""
+def eligible_minions(work, job, key, step):
+    """Yield the minions that may run tasks of a step, whatever their capacity."""
     policy = work.table.policy(job)
     permitted = work.outlook.permitted_by_step.get(key)
     if policy.advice is not None and permitted is None:
@@ -247,26 +255,30 @@
 
 
 def is_unrestricted(policy, step):
-    """Whether any minion of the pool may run a task of `step`, room aside."""
+    """Whether `step` may run on any minion of the pool, whatever its capacity."""
     restricted = step.required_label or step.max_per_minion or step.same_rack
     return not restricted and policy.advice is None
 
 
 def best_minion(work, key, step, candidates, is_suspect=False, avoided=()):
-    """Return the minion for one more task of a step, or None.
-
-    Near the data first, then the least doubted, then the one that has the
-    least of its processors free: the others stay empty and may be lent. A
-    suspect takes the one that has the most, where a crash hits the fewest, and
-    not a VM of `avoided` where there is another. A task that lasts goes to a
-    VM without an upkeep ahead, where there is one: it would have to leave
-    again, and the tasks of its step leave one by one.
+    """Return the best minion for one more task of a step, or None if none fits.
+
+    Preferences, in this order:
+
+    - A VM outside `avoided`, on which the task has not crashed a minion yet.
+    - A minion in the rack that holds the data.
+    - For a long-running task, a VM without pending maintenance, which would
+      evict it again; the tasks of a step are evicted one at a time.
+    - The lowest penalty.
+    - The least free CPU, so that idle minions stay idle and can be lent. A
+      suspect gets the most free CPU instead, where a crash affects the fewest
+      other runs.
     """
-    carried = work.carried(key)
+    task_counts = work.task_counts(key)
     best = None
     best_score = None
     for minion in candidates:
-        if step.max_per_minion and carried.get(minion.id, 0) >= step.max_per_minion:
+        if step.max_per_minion and task_counts.get(minion.id, 0) >= step.max_per_minion:
             continue
         room = work.room(minion)
         if not room.fits(minion, step):
@@ -276,7 +288,7 @@
             minion.vm in avoided,
             bool(step.data_rack) and minion.rack != step.data_rack,
             step.lasts and minion.vm in work.vms_due,
-            work.outlook.doubt_by_minion.get(minion.id, 0.0),
+            work.outlook.penalty_by_minion.get(minion.id, 0.0),
             taken if is_suspect else -taken,
         )
         if best is None or score < best_score:
--- a/hingepitch/jobs/rack.py
+++ b/hingepitch/jobs/rack.py
@@ -2,8 +2,8 @@
 hingepitch.jobs.rack
 ~~~~~~~~~~~~~~~~~~~~
 
-Where the tasks of a step go that wants one rack, and how long it waits for
-one: pure functions over a planning pass.
+Placement of `same_rack` steps, whose tasks should share one rack, and how long
+such a step waits for a rack: pure functions over a planning pass.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -13,55 +13,58 @@
 
 __all__ = ["minions_for_one_rack", "slots_on"]
 
-#: Longest wait for a rack, in milliseconds, whatever it would save. Source: an
-#: accepted job has to run within 3 s where there is room, and the pass that
-#: starts it and the order take their part of that.
+#: Longest wait for a rack, in milliseconds, whatever time it would save. Source:
+#: an accepted job must start within 3 s where there is free capacity, and
+#: the planning pass and the order need part of that.
 MAX_WAIT_MS = 2000
 
 
 def minions_for_one_rack(work, job, key, candidates, count):
-    """Return the minions that `count` tasks of a step may use now.
+    """Return the minions that `count` tasks of a `same_rack` step may use now.
 
-    Those of one rack: the one that has tasks of the step already, else the one
-    with the most room. While it has no room for all, the step waits for it, and
-    only as long as that pays; then it is spread over all `candidates`.
+    These are the minions of one rack: the rack that already has tasks of the
+    step, else the rack with the most free capacity. If that rack cannot take
+    all tasks, the step waits for it while `is_wait_worthwhile`; after that its
+    tasks are spread over all `candidates`.
     """
     step = job.spec.steps[key[2]]
-    shared = shared_rack(work, key)
+    current = rack_in_use(work, key)
     racks = group_by_rack(candidates)
-    if shared is not None:
-        racks = {shared: racks.get(shared, [])}
+    if current is not None:
+        racks = {current: racks.get(current, [])}
     best = max(racks.values(), key=lambda one: free_slots(work, step, one), default=[])
     if free_slots(work, step, best) >= count:
         return best
-    if pays_to_wait(work, job, key, racks.values(), count):
-        return best if shared is not None else []
+    if is_wait_worthwhile(work, job, key, racks.values(), count):
+        return best if current is not None else []
     return candidates
 
 
-def shared_rack(work, key):
-    """Return the rack that has tasks of a step already, or None."""
-    for minion_id, carried in work.carried(key).items():
+def rack_in_use(work, key):
+    """Return the rack that already has tasks of a step, or None."""
+    for minion_id, count in work.task_counts(key).items():
         minion = work.table.minion_by_id.get(minion_id)
-        if carried and minion is not None:
+        if count and minion is not None:
             return minion.rack
     return None
 
 
 def group_by_rack(minions):
-    """Return the minions of each rack."""
+    """Return the minions by rack."""
     racks = {}
     for minion in minions:
         racks.setdefault(minion.rack, []).append(minion)
     return racks
 
 
-def pays_to_wait(work, job, key, racks, count):
-    """Whether a step gains if it waits until one of `racks` has room for it.
+def is_wait_worthwhile(work, job, key, racks, count):
+    """Whether waiting for one of `racks` takes less time than it saves.
 
-    Room that tasks hold that last never comes free. Tasks that are spread take
-    `far_factor` times as long: a longer wait costs more than it saves. A task
-    that lasts gains nothing that its absence would not cost.
+    Tasks that are spread over racks take `far_factor` times as long, so the
+    wait is limited by the time saved, and by `MAX_WAIT_MS`. At least one rack
+    must be able to take the step once its other tasks end; long-running tasks
+    never do. A long-running step does not wait, since its absence would cost as
+    much as it gains.
     """
     step = job.spec.steps[key[2]]
     if step.lasts:
@@ -71,7 +74,7 @@
     saved_ms = (outlook.far_factor - 1) * outlook.durations.expected_ms(place, step)
     if outlook.rack_waited_ms_by_step.get(key, 0) > min(saved_ms, MAX_WAIT_MS):
         return False
-    return any(slots_in_time(work, step, minions) >= count for minions in racks)
+    return any(potential_slots(work, step, minions) >= count for minions in racks)
 
 
 def free_slots(work, step, minions):
@@ -79,13 +82,13 @@
     return sum(slots_on(step, one, work.room(one)) for one in minions)
 
 
-def slots_in_time(work, step, minions):
-    """Return how many tasks of `step` fit once all have ended that end."""
-    return sum(slots_on(step, one, lasting_room(work.table, one)) for one in minions)
+def potential_slots(work, step, minions):
+    """Return how many tasks of `step` fit beside the long-running ones alone."""
+    return sum(slots_on(step, one, lasting_usage(work.table, one)) for one in minions)
 
 
-def lasting_room(table, minion):
-    """Return the room that tasks take on a minion that last."""
+def lasting_usage(table, minion):
+    """Return the resources that long-running tasks use on a minion."""
     room = Room()
     for run in table.runs_by_minion.get(minion.id, {}).values():
         job = table.job_by_id.get(run.task.job)
@@ -95,7 +98,11 @@
 
 
 def slots_on(step, minion, room):
-    """Return how many tasks of `step` fit on `minion` beside what is taken."""
+    """Return how many tasks of `step` fit on `minion`.
+
+    `room`
+        The resources that are in use there.
+    """
     free = (
         (minion.cpu_millicores - room.cpu_millicores, step.counted_millicores),
         (minion.memory_mb - room.memory_mb, step.memory_mb),
