--- a/hingepitch/jobs/mover.py
+++ b/hingepitch/jobs/mover.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.mover
 ~~~~~~~~~~~~~~~~~~~~~
 
-Moves VMs between pools for one leadership, by what the pools want.
+Moves VMs between pools during one leadership, following the pools' demand.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -23,59 +23,67 @@
 
 __all__ = ["MoveDesk"]
 
-#: Longest time between two decisions, in seconds.
+#: Longest time between two move decisions, in seconds.
 STEP_SECONDS = 0.1
 
-#: Jobs that come within this time are decided on together, in seconds. Source:
-#: measuring the pools of 144 minions took 1.2 ms of a whole core under a
-#: profiler; the rest of a decision was not measured.
+#: Jobs that arrive within this time are handled by one decision, in seconds.
+#: Source: measuring the pools of 144 minions takes 1.2 ms of a core.
 GATHER_SECONDS = 0.04
 
-#: Pause after a decision, in times of what it took. Source: measuring pools with
-#: 999 waiting steps took 13 ms, so that decisions take a fifth of the processor
-#: at most; a VM needs 1.5 s to move.
+#: Pause after a decision, as a multiple of its duration, so that decisions use
+#: at most a fifth of the CPU. Source: measuring pools with 999 waiting steps
+#: takes 13 ms; the delay is small against the 1.5 s that a move takes.
 DECISION_PAUSES = 4
 
-#: Longest wait for an answer of the platform, in seconds.
+#: Timeout of a call to the platform, in seconds.
 CALL_SECONDS = 2.0
 
-#: After a call without an answer the same is ordered again, and nothing else
-#: is ordered for the VM for so long, in seconds: the platform may still carry
-#: the first call out. Source: such calls were carried out up to 12 s late.
+#: After a call without an answer, only the same move is ordered for the VM for
+#: this time, in seconds: the platform may still carry out the first call.
+#: Source: the platform carries out such calls up to 12 s late.
 UNSURE_SECONDS = 15.0
 
-#: A VM that was busy is left alone for so long, in seconds. Source: a tenth of
-#: the time that a move takes; VMs that were called busy were needed at once.
+#: No other order for a VM for this time after the platform called it busy, in
+#: seconds: a tenth of the duration of a move, since such VMs are needed at once.
 BUSY_SECONDS = 0.15
 
-#: The platform's list is read at most this often, in seconds.
+#: Shortest time between two reads of the platform's VM list, in seconds.
 LIST_SECONDS = 5.0
 
 
 class MoveDesk:
-    """Carries out moves of VMs for one leadership.
+    """Plans and carries out the moves of VMs during one leadership.
+
+    A move is first recorded in the log, then ordered from the platform.
 
     `session`
-        The leadership: its table, its agents, its commands.
+        The `Session` of the leadership.
     `platform`
         Client with `move(vm, pool, holder, fence, seconds)` and
         `list_vms(seconds)`.
     `terms`
         A `PoolTerms`.
     `move_seconds`
-        How long a move takes; the VM takes no other order meanwhile.
-    `source_by_vm`
-        The spare pool that a VM was taken from, while its move is not settled.
-    `beginning`
-        Moves that are on their way into the log, as pools by VM.
+        Duration of a move; the VM accepts no other order meanwhile.
+    `source_pool_by_vm`
+        The spare pool that a VM was taken from, until the platform's answer
+        settles the move.
+    `proposed_pool_by_vm`
+        Target pools of the moves that are proposed but not yet committed.
+    `calling`
+        VMs with a call to the platform in progress.
+    `done`
+        Moves, as pairs of VM and pool, that the platform has confirmed.
+    `impossible`
+        Pairs of VM kind and pool that the platform has refused.
     `kinds_by_pool`
         The kinds of VMs that were seen in each pool.
     `moved_at_by_vm`
-        When the platform has carried out a move that is not over yet.
+        When the platform confirmed a move whose VM has not registered since.
     `is_lacking`
-        Whether a pool wants more VMs than it has, or will have from moves.
+        Whether a pool wants more VMs than it has, begun moves included.
     `wake`
-        Set when work has arrived: a decision is due at once.
+        Event that is set when work arrives, to trigger a decision at once.
     """
 
     def __init__(self, session, platform, terms, move_seconds):
@@ -83,8 +91,8 @@
         self.platform = platform
         self.terms = terms
         self.move_seconds = move_seconds
-        self.source_by_vm = {}
-        self.beginning = {}
+        self.source_pool_by_vm = {}
+        self.proposed_pool_by_vm = {}
         self.calling = set()
         self.is_listing = False
         self.done = set()
@@ -102,7 +110,7 @@
         self.gather_seconds = GATHER_SECONDS
 
     def run(self):
-        """Decide and move until killed."""
+        """Plan and carry out moves until killed."""
         while True:
             self.wake.wait(STEP_SECONDS)
             self.wake.clear()
@@ -114,12 +122,12 @@
                 continue
             began = lease_seconds()
             self.session.attempt("moves", self.step, config, began)
-            # Measuring a backlog takes long: most of the time is for the rest.
+            # Measuring a long backlog is slow and must not starve other work.
             took = lease_seconds() - began
             self.gather_seconds = max(GATHER_SECONDS, DECISION_PAUSES * took)
 
     def step(self, config, now):
-        """Carry on the moves that were begun, then begin others."""
+        """Continue the moves in progress, then plan and begin new ones."""
         self.read_list_if_due(now)
         self.demand.note_arrivals(now)
         table = self.session.table
@@ -127,29 +135,27 @@
             if (vm, pool) not in self.done:
                 self.call_once_at_a_time(vm, pool)
             elif self.is_overdue(vm, now):
-                self.session.spawn_apart("move", self.give_up, vm, pool)
+                self.session.spawn_apart("move", self.abandon, vm, pool)
         self.done &= set(table.move_by_vm.items())
         views = list(self.views(config, now))
         is_known = self.demand.is_known(now)
         moves = plan_moves(views, self.terms, self.impossible, is_known)
         for move in list(moves):
-            self.beginning[move.vm] = move.pool
+            self.proposed_pool_by_vm[move.vm] = move.pool
             self.session.spawn_apart("move", self.begin, move)
         self.is_lacking = any(
             view.wanted > view.present for view in views if not view.is_spare
         )
 
-    # What the decision needs.
-
     def read_list_if_due(self, now):
-        """Read the platform's list now and then, beside the decisions."""
+        """Read the platform's VM list in the background every `LIST_SECONDS`."""
         if not self.is_listing and now - self.listed_at >= LIST_SECONDS:
             self.listed_at = now
             self.is_listing = True
             self.session.spawn_apart("move", self.read_list)
 
     def read_list(self):
-        """Learn which VMs are spare."""
+        """Read the platform's VM list and update the spare VMs."""
         try:
             listed = self.platform.list_vms(CALL_SECONDS)
         finally:
@@ -158,19 +164,22 @@
             self.take_list(listed.rows)
 
     def take_list(self, rows):
-        """Take over what the platform lists."""
+        """Update the spare VMs and the kinds of all VMs from listed rows.
+
+        A spare VM that is on hold stays spare, whatever the list says.
+        """
         spare_pools = {
             pool.name for pool in self.session.table.config.pools if pool.is_spare
         }
         self.kind_by_vm = {row.vm: row.kind for row in rows}
         for row in rows:
             self.kinds_by_pool[row.pool].add(row.kind)
-        on_their_way = {
+        in_transit = {
             vm: pool
             for vm, pool in self.spare_vms.items()
             if lease_seconds() < self.held_until_by_vm.get(vm, 0.0)
         }
-        self.spare_vms = on_their_way | {
+        self.spare_vms = in_transit | {
             row.vm: row.pool
             for row in rows
             if row.pool in spare_pools
@@ -179,7 +188,7 @@
         }
 
     def views(self, config, now):
-        """Yield a `PoolView` of each pool."""
+        """Yield a `PoolView` of each configured pool."""
         loads = self.session.measure_pools()
         in_upkeep = self.vms_in_upkeep()
         taken = self.taken_vms(in_upkeep)
@@ -188,16 +197,16 @@
             load = loads.get(pool.name, PoolLoad())
             view = PoolView(pool.name, is_spare=pool.is_spare)
             if pool.is_spare:
-                view.idle = list(self.spare_idle(pool.name, taken, now))
+                view.idle = list(self.idle_spare_vms(pool.name, taken, now))
                 view.present = len(view.idle)
             elif pool.name in self.session.table.queues.pools:
                 view.wanted = self.demand.wanted(pool.name, load, now)
             if not pool.is_spare:
-                view.idle = list(self.idle_of(minions_by_pool[pool.name], taken, now))
+                view.idle = list(self.idle_vms(minions_by_pool[pool.name], taken, now))
                 view.present = load.minions + self.incoming(pool.name)
                 view.present -= self.outgoing(pool.name)
                 view.present -= away(minions_by_pool[pool.name], in_upkeep)
-                lapsed = self.lapsed_vms(minions_by_pool[pool.name], now) - in_upkeep
+                lapsed = self.expired_vms(minions_by_pool[pool.name], now) - in_upkeep
                 view.present -= away(minions_by_pool[pool.name], lapsed)
             view.kinds = frozenset(minion.kind for minion in minions_by_pool[pool.name])
             self.kinds_by_pool[pool.name] |= view.kinds
@@ -212,51 +221,51 @@
 
     @property
     def pool_by_moving_vm(self):
-        """Where the VMs go whose move is recorded, or about to be."""
-        return self.beginning | self.session.table.move_by_vm
+        """Target pools of the VMs whose move is recorded or proposed."""
+        return self.proposed_pool_by_vm | self.session.table.move_by_vm
 
     def incoming(self, pool):
-        """Return how many VMs are on their way to a pool."""
+        """Return how many VMs are moving to a pool."""
         return sum(to == pool for to in self.pool_by_moving_vm.values())
 
     def outgoing(self, pool):
-        """Return how many registered VMs are on their way out of a pool."""
+        """Return how many registered VMs are moving out of a pool."""
         table = self.session.table
         lives = (table.life_by_vm.get(vm) for vm in self.pool_by_moving_vm)
         minions = (table.minion_by_id[life] for life in lives if life)
         return sum(minion.pool == pool for minion in minions)
 
     def taken_vms(self, in_upkeep):
-        """Return the VMs that move, or leave or have left for their upkeep."""
+        """Return the VMs that are moving, or in `in_upkeep`."""
         return in_upkeep.union(self.pool_by_moving_vm)
 
     def vms_in_upkeep(self):
-        """Return the VMs that leave for their upkeep or have left.
+        """Return the VMs that are in maintenance or being drained for it.
 
-        Collected once for a decision: made anew for each VM that is asked
-        about, the set took 5 % of the leader's time with 272 minions.
+        A decision computes this set once: computing it for each VM took 5 % of
+        the leader's time with 272 minions.
         """
         leaving = self.session.upkeep.leaving_since_by_vm
         return self.session.table.vms_in_upkeep().union(leaving)
 
-    def lapsed_vms(self, minions, now):
-        """Return the VMs of those `minions` that are silent past their lease."""
+    def expired_vms(self, minions, now):
+        """Return the VMs of those `minions` whose lease has expired."""
         agents = self.session.agent_by_minion
         pairs = ((one.vm, agents.get(one.id)) for one in minions)
         return {vm for vm, agent in pairs if agent and agent.has_lapsed(now)}
 
     def is_free(self, vm, taken, now):
-        """Whether a VM is not taken, and has no call that is unsettled."""
+        """Whether a VM is neither in `taken` nor on hold."""
         return vm not in taken and now > self.held_until_by_vm.get(vm, 0.0)
 
-    def spare_idle(self, pool, taken, now):
-        """Yield the spare VMs of a pool."""
+    def idle_spare_vms(self, pool, taken, now):
+        """Yield an `IdleVm` for each spare VM of a pool that is free."""
         for vm, at in self.spare_vms.items():
             if at == pool and self.is_free(vm, taken, now):
                 yield IdleVm(vm, self.kind_by_vm.get(vm, ""), 0.0)
 
-    def idle_of(self, minions, taken, now):
-        """Yield the VMs of `minions` that have nothing to do."""
+    def idle_vms(self, minions, taken, now):
+        """Yield an `IdleVm` for each of `minions` that has no runs and is free."""
         table = self.session.table
         for minion in minions:
             vm = minion.vm
@@ -267,32 +276,31 @@
             if self.is_free(vm, taken, now):
                 yield IdleVm(vm, minion.kind, now - since)
 
-    # Orders to the platform.
-
     def begin(self, move):
-        """Record that a VM begins to move, then order it."""
+        """Record the beginning of a move, then order it from the platform."""
         try:
             is_recorded = self.session.propose(BeginMove(move.vm, move.pool))
         finally:
-            self.beginning.pop(move.vm, None)
+            self.proposed_pool_by_vm.pop(move.vm, None)
         if is_recorded:
             if move.vm in self.spare_vms:
-                self.source_by_vm[move.vm] = self.spare_vms.pop(move.vm)
+                self.source_pool_by_vm[move.vm] = self.spare_vms.pop(move.vm)
             self.call_once_at_a_time(move.vm, move.pool)
 
     def call_once_at_a_time(self, vm, pool):
-        """Order a move, unless an order for the VM is on its way."""
+        """Order a move, unless a call for the VM is in progress."""
         if vm in self.calling:
             return
         self.calling.add(vm)
         self.session.spawn_apart("move", self.call, vm, pool)
 
     def call(self, vm, pool):
-        """Order a move and record what became of it.
+        """Order a move from the platform and record the outcome.
 
-        The life that the move ends is the one that is there while it is recorded.
-        Once the VM has come to its pool the move is over: the platform answers
-        that it is done, and the life there now has runs.
+        The move ends the incarnation that is registered while the move is
+        recorded. Nothing is ordered once the move is over: the platform would
+        answer `DONE` again, and the incarnation registered by then is the one
+        that came by the move and has runs.
         """
         try:
             if self.session.table.move_by_vm.get(vm) != pool:
@@ -314,56 +322,60 @@
             self.calling.discard(vm)
 
     def settle(self, vm, pool, life, reply):
-        """Record the answer of the platform, where it is final."""
+        """Act on the platform's answer, and record it if it is final."""
         if reply is FleetReply.DONE:
             self.finish(vm, pool, life)
         elif reply is FleetReply.UNKNOWN_VM:
-            self.note_unfit(vm, pool)
+            self.note_unknown_vm(vm, pool)
             self.session.propose(EndMove(vm))
         elif reply in (FleetReply.BUSY, FleetReply.NOT_IN_WAVE):
             self.hold(vm, BUSY_SECONDS)
             self.session.propose(EndMove(vm))
-            if vm in self.source_by_vm:
-                self.spare_vms[vm] = self.source_by_vm.pop(vm)
+            if vm in self.source_pool_by_vm:
+                self.spare_vms[vm] = self.source_pool_by_vm.pop(vm)
         elif reply is FleetReply.FENCED:
             self.session.fenced(vm)
         elif reply is FleetReply.UNSURE:
             self.hold(vm, UNSURE_SECONDS)
 
-    def note_unfit(self, vm, pool):
-        """Note that the platform knows no such VM, or not in that pool.
+    def note_unknown_vm(self, vm, pool):
+        """Handle the answer that the VM is unknown, or not allowed in the pool.
 
-        Where a pool was seen with VMs of that kind, it is the VM that is gone:
-        the others may come. It is left alone until lists no longer show it.
+        If the pool has had VMs of this kind, the VM itself is gone, and others
+        of the kind may still move there. The hold outlasts the lists that may
+        still show the VM.
         """
         kind = self.kind_by_vm.get(vm, "")
         if kind not in self.kinds_by_pool[pool]:
             self.impossible.add((kind, pool))
-        self.source_by_vm.pop(vm, None)
+        self.source_pool_by_vm.pop(vm, None)
         self.hold(vm, UNSURE_SECONDS)
 
     def is_overdue(self, vm, now):
-        """Whether a VM was moved and should have been heard of long ago."""
+        """Whether a moved VM should have registered in its new pool by now."""
         moved_at = self.moved_at_by_vm.get(vm, now)
         return now - moved_at > self.move_seconds + self.session.silence_seconds
 
-    def give_up(self, vm, pool):
-        """Record that a move is over though the VM never came.
+    def abandon(self, vm, pool):
+        """Record that a move is over although the VM never registered.
 
-        It may have crashed for good meanwhile: counted as on its way, it would
-        keep another from being taken in its place. If it comes, it registers.
+        The VM may have crashed for good. Counted as incoming, it would prevent
+        a replacement. If it does come, it registers as usual.
         """
-        # Tried again after as long, should it not be committed.
+        # If the command is not committed, the next try comes after the same time.
         self.moved_at_by_vm[vm] = lease_seconds()
         fence = self.session.fence
         log_event("move_step", vm=vm, pool=pool, fence=fence, reply="never came")
         self.session.propose(EndMove(vm))
 
     def finish(self, vm, pool, life):
-        """Record that a VM has moved: its life there is over."""
+        """Record that a VM has moved and that its incarnation `life` has ended.
+
+        A move to a spare pool is over at once, since no minion runs there.
+        """
         self.done.add((vm, pool))
         self.moved_at_by_vm[vm] = lease_seconds()
-        self.source_by_vm.pop(vm, None)
+        self.source_pool_by_vm.pop(vm, None)
         self.idle_since_by_vm.pop(vm, None)
         config_pool = self.session.table.config.pool(pool)
         if life is not None:
@@ -376,17 +388,17 @@
             self.session.propose(EndMove(vm))
 
     def hold(self, vm, seconds):
-        """Leave a VM where it is for a while."""
+        """Give a VM no new move for the next `seconds`."""
         until = lease_seconds() + seconds
         self.held_until_by_vm[vm] = max(until, self.held_until_by_vm.get(vm, 0.0))
 
 
 def away(minions, gone):
-    """Return how many of `minions` take no work: their VMs are among `gone`.
+    """Return how many of `minions` are unavailable because their VM is in `gone`.
 
-    They are registered until their next life comes. Counted as present, they
-    kept a pool from getting others in their place: a task that lasts waited
-    3.7 s for a VM while a wave had taken 45 of 272, and 8.3 s while a cut held
-    5 minions of a pool.
+    Such minions stay registered until the next incarnation registers. Counted
+    as present, they would keep a pool from getting replacements: a long-running
+    task waited 3.7 s for a VM while a wave had taken down 45 of 272, and 8.3 s
+    while a network partition cut off 5 minions of a pool.
     """
     return sum(one.vm in gone and not one.is_draining for one in minions)
