--- a/hingepitch/jobs/upkeep.py
+++ b/hingepitch/jobs/upkeep.py
@@ -2,8 +2,8 @@
 hingepitch.jobs.upkeep
 ~~~~~~~~~~~~~~~~~~~~~~
 
-Upkeep waves: VMs are emptied, taken down and awaited, never more at
-once than their wave allows.
+Carries out maintenance waves: drains VMs, orders their maintenance and waits
+until they are back, within the number of VMs that a wave allows to be down.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -20,42 +20,44 @@
 
 __all__ = ["UpkeepDesk", "needed_at_once", "patience_seconds"]
 
-#: Time between two looks at the waves, in seconds.
+#: Time between two passes over the waves, in seconds.
 STEP_SECONDS = 0.2
 
-#: Longest wait for an answer of the platform, in seconds.
+#: Timeout of a call to the platform, in seconds.
 CALL_SECONDS = 2.0
 
-#: The platform's list is read at most this often, in seconds: reads are
-#: limited. It is believed only if it was read so long after the change.
+#: Shortest time between two reads of the platform's VM list, in seconds, since
+#: the platform limits reads; and how long after a change a list must have been
+#: read to be trusted.
 LIST_SECONDS = 1.0
 LIST_LAG_SECONDS = 1.0
 
-#: A VM that is busy and that the platform has not listed for so long is gone, in
-#: seconds. Source: two lists, so that one that changed between its pages does
-#: not end an upkeep that is still due.
+#: A VM that the platform calls busy but has not listed for this time is gone,
+#: in seconds. Source: two reads of the list, so that a list that changes between
+#: its pages does not end a maintenance that is still due.
 GONE_SECONDS = 2.0
 
-#: Time that one VM takes beyond its upkeep itself: emptying its last stops,
-#: two commits, the first message of the new life; in seconds. Source: with 272
-#: VMs, half took 1.2 s beyond their upkeep, four of five 2.8 s.
+#: Time that a VM takes beyond the maintenance itself, in seconds: its last runs
+#: stop, two commands are committed, and the new incarnation reports. Source:
+#: with 272 VMs, the median is 1.2 s and the 80th percentile 2.8 s.
 TURNAROUND_SECONDS = 1.2
 
-#: Part of an upkeep after which a life that was not known before is the one that
-#: came after it. Source: new lives were known 2.0 s after the order of an upkeep
-#: of 2 s; the rest is for the answer to the order.
+#: Part of the maintenance time after which an incarnation that was not known
+#: before is the one that followed the maintenance. Source: new incarnations are
+#: known 2.0 s after the order of a maintenance of 2 s; the margin covers the
+#: delay of the answer to the order.
 NEW_LIFE_PART = 0.9
 
-#: Part of the time left in which a wave that meets waiting work is to end.
-#: Source: the rest is for a leader's loss (2 s) and for VMs that do not empty.
-HASTE_PART = 0.7
+#: Part of the remaining time in which a wave is to end while tasks wait for VMs.
+#: Source: the rest covers a change of leader (2 s) and VMs that are slow to drain.
+DEADLINE_PART = 0.7
 
 
 def patience_seconds(seconds_left, waiting, max_down, upkeep_seconds):
-    """Return how long one VM may wait for its runs to end by themselves.
+    """Return how long a VM may drain before its runs are stopped, in seconds.
 
-    The time that is left beyond what the upkeep of the `waiting` VMs needs,
-    shared among the batches that are still to come.
+    The time that is left beyond the maintenance of the `waiting` VMs, divided
+    by the number of batches of `max_down` VMs that are still to come.
     """
     batches = -(-waiting // max_down)
     spare = seconds_left - batches * (upkeep_seconds + TURNAROUND_SECONDS)
@@ -63,33 +65,39 @@
 
 
 def needed_at_once(seconds_left, waiting, upkeep_seconds):
-    """Return how many VMs have to be down at once for a wave to end in time.
+    """Return how many VMs must be down at once for a wave to meet its deadline.
 
-    `HASTE_PART` of the time is used, so that a leader's loss does not make
-    the wave late.
+    Plans with `DEADLINE_PART` of the time that is left, so that a change of
+    leader does not make the wave late.
     """
     each = upkeep_seconds + TURNAROUND_SECONDS
-    batches = int(HASTE_PART * seconds_left / each)
+    batches = int(DEADLINE_PART * seconds_left / each)
     return -(-waiting // max(1, batches))
 
 
 class UpkeepDesk:
-    """Carries out the waves for one leadership.
+    """Carries out maintenance waves during one leadership.
 
     `session`
-        The leadership: its table, its agents, its commands.
+        The `Session` of the leadership.
     `platform`
         Client with `upkeep(vm, wave, holder, fence, seconds)` and
         `list_vms(seconds)`.
     `upkeep_seconds`
-        How long a VM is down for its upkeep.
-    `row_by_vm`, `rows_at`, `is_list_whole`
-        The platform's last list, when it was asked for, and whether each of its
-        entries could be read.
+        How long a VM is down for its maintenance.
+    `leaving_since_by_vm`
+        When the draining of each chosen VM began; kept until it is back.
     `life_before_by_vm`
-        The lives that upkeeps of this leadership have ended.
+        The incarnations that the maintenance ordered by this leadership ends.
+    `calling`
+        VMs with a call to the platform in progress.
+    `settled_at_by_vm`
+        When the platform confirmed the order of a maintenance.
     `unlisted_since_by_vm`
-        Since when a VM that is busy is missing from that list.
+        Since when a VM that the platform calls busy is missing from its list.
+    `row_by_vm`, `rows_at`, `is_list_complete`
+        The platform's last list, when it was requested, and whether all of its
+        entries could be read.
     """
 
     def __init__(self, session, platform, upkeep_seconds):
@@ -103,12 +111,12 @@
         self.unlisted_since_by_vm = {}
         self.row_by_vm = {}
         self.rows_at = 0.0
-        self.is_list_whole = False
+        self.is_list_complete = False
         self.listed_at = 0.0
 
     @property
     def leaving_lives(self):
-        """Lives of minions that get no new runs because of their upkeep."""
+        """Incarnations of minions that get no new runs because of maintenance."""
         lives = self.session.table.life_by_vm
         return {lives[vm] for vm in self.leaving_since_by_vm if vm in lives}
 
@@ -123,7 +131,7 @@
                     self.session.attempt("wave", self.step, wave)
 
     def step(self, wave):
-        """Bring one wave forward."""
+        """Advance one wave: VMs in maintenance first, then the next to drain."""
         now = lease_seconds()
         for vm, stage in list(wave.stage_by_vm.items()):
             if stage is UpkeepStage.BEGUN:
@@ -131,12 +139,10 @@
             elif stage is UpkeepStage.ORDERED:
                 self.finish_if_back(wave, vm, now)
         self.choose_leaving(wave, now)
-        self.empty(wave, now)
-
-    # Choosing and emptying.
+        self.drain_leaving(wave, now)
 
     def choose_leaving(self, wave, now):
-        """Choose the VMs that are emptied next, the least busy first."""
+        """Choose the VMs to drain next, those with the fewest runs first."""
         chosen = [vm for vm in wave.vms_waiting if vm in self.leaving_since_by_vm]
         free = self.allowed_down(wave) - len(wave.vms_down) - len(chosen)
         moving = self.session.table.move_by_vm
@@ -151,8 +157,8 @@
     def allowed_down(self, wave):
         """Return how many VMs of a wave may be down at once now.
 
-        While a pool lacks VMs, a wave takes no more of them than it needs to
-        end in time: its VMs are missing where work waits.
+        While a pool is short of VMs, a wave takes down only as many as it needs
+        to meet its deadline, since waiting tasks could use the others.
         """
         if not self.session.mover.is_lacking:
             return wave.max_down
@@ -166,11 +172,11 @@
         life = self.session.table.life_by_vm.get(vm, "")
         return self.session.runs_of(life)
 
-    def empty(self, wave, now):
-        """Take the VMs that are empty; stop what has had its time."""
+    def drain_leaving(self, wave, now):
+        """Begin the maintenance of drained VMs and evacuate the other chosen ones."""
         waiting = wave.vms_waiting
         seconds_left = (wave.due_ms - wall_ms()) / 1000
-        patience = patience_seconds(
+        grace = patience_seconds(
             seconds_left, len(waiting), wave.max_down, self.upkeep_seconds
         )
         for vm in waiting:
@@ -181,10 +187,14 @@
             if not runs:
                 self.begin(wave, vm)
             else:
-                self.evacuate(list(runs.values()), now - since > patience)
+                self.evacuate(list(runs.values()), now - since > grace)
 
     def evacuate(self, runs, is_late):
-        """Stop the lasting tasks that may be away, and what is too slow."""
+        """Stop the runs of a VM that may be stopped now.
+
+        A long-running task is stopped if its disruption budget allows it, any
+        other if the VM has drained for longer than its grace (`is_late`).
+        """
         for run in runs:
             if (run.task, run.number) in self.session.watch.evacuated:
                 continue
@@ -198,23 +208,21 @@
             if may_stop:
                 self.session.watch.evacuate(run, UPKEEP_REASON)
 
-    # Orders to the platform.
-
     def begin(self, wave, vm):
-        """Record that the upkeep of a VM begins, then order it."""
+        """Record the beginning of a VM's maintenance, then order it."""
         life = self.session.table.life_by_vm.get(vm)
         if self.session.propose(BeginUpkeep(wave.number, vm, wall_ms())):
             self.life_before_by_vm[vm] = life
             self.call_once_at_a_time(wave, vm)
 
     def call_once_at_a_time(self, wave, vm):
-        """Order the upkeep of a VM, unless an order is on its way."""
+        """Order the maintenance of a VM, unless a call for it is in progress."""
         if vm not in self.calling:
             self.calling.add(vm)
             self.session.spawn_apart("upkeep", self.call, wave, vm)
 
     def call(self, wave, vm):
-        """Order the upkeep of a VM and record what became of it."""
+        """Order the maintenance of a VM from the platform and record the outcome."""
         try:
             reply = self.platform.upkeep(
                 vm, wave.number, self.session.name, self.session.fence, CALL_SECONDS
@@ -232,60 +240,64 @@
             self.calling.discard(vm)
 
     def settle(self, wave, vm, reply):
-        """Record the answer of the platform, where it is final."""
+        """Act on the platform's answer, and record it if it is final."""
         if reply is FleetReply.DONE:
             self.settled_at_by_vm[vm] = lease_seconds()
-            self.put_stage(wave, vm, UpkeepStage.ORDERED)
+            self.record_stage(wave, vm, UpkeepStage.ORDERED)
         elif reply in (FleetReply.NOT_IN_WAVE, FleetReply.UNKNOWN_VM):
             self.leaving_since_by_vm.pop(vm, None)
-            self.put_stage(wave, vm, UpkeepStage.OVER)
+            self.record_stage(wave, vm, UpkeepStage.OVER)
         elif reply is FleetReply.FENCED:
             self.session.fenced(vm)
         elif reply is FleetReply.BUSY and self.is_gone(vm, lease_seconds()):
             log_event("upkeep_step", wave=wave.number, vm=vm, step="gone")
             self.leaving_since_by_vm.pop(vm, None)
-            self.put_stage(wave, vm, UpkeepStage.OVER)
+            self.record_stage(wave, vm, UpkeepStage.OVER)
 
     def is_gone(self, vm, now):
-        """Whether a VM that is busy was taken away for good.
+        """Whether a VM that the platform calls busy no longer exists.
 
-        Without this a wave never ends that has such a VM, and its order is
-        given five times a second.
+        Without this check a wave with such a VM would never end, and would
+        repeat the order five times a second.
         """
         self.read_list_if_due(now)
-        if not self.is_list_whole or vm in self.row_by_vm:
+        if not self.is_list_complete or vm in self.row_by_vm:
             self.unlisted_since_by_vm.pop(vm, None)
             return False
         since = self.unlisted_since_by_vm.setdefault(vm, self.rows_at)
         return self.rows_at >= since + GONE_SECONDS
 
-    def put_stage(self, wave, vm, stage):
-        """Record how far the upkeep of a VM is."""
+    def record_stage(self, wave, vm, stage):
+        """Record the stage of a VM's maintenance."""
         self.session.propose(SettleUpkeep(wave.number, vm, stage))
 
     def finish_if_back(self, wave, vm, now):
-        """Record that a VM is back, once it spoke well after its order."""
+        """Record that a VM is back once its minion reports or the list shows it."""
         settled_at = self.settled_at_by_vm.setdefault(vm, now)
         life = self.session.table.life_by_vm.get(vm)
         agent = self.session.agent_by_minion.get(life)
-        spoke = agent is not None and self.is_back(agent, vm, settled_at)
-        if not spoke and not self.is_listed_back(vm, settled_at, now):
+        has_reported = agent is not None and self.is_back(agent, vm, settled_at)
+        if not has_reported and not self.is_listed_back(vm, settled_at, now):
             return
         self.leaving_since_by_vm.pop(vm, None)
-        self.put_stage(wave, vm, UpkeepStage.OVER)
+        self.record_stage(wave, vm, UpkeepStage.OVER)
         log_event("upkeep_step", wave=wave.number, vm=vm, step="over", minion=life)
 
     def is_back(self, agent, vm, settled_at):
-        """Whether the life of `agent` came after an upkeep ordered at `settled_at`.
+        """Whether the incarnation of `agent` followed a maintenance of its VM.
+
+        `settled_at` is when the platform confirmed the order.
 
-        Nothing that the life says counts that the upkeep has ended: it may have
-        been held back. Where that life is not known, because an earlier leader
-        began the upkeep, only a life that is met late is believed.
+        Messages of the incarnation that the maintenance ended do not count,
+        since they may have been delayed. If that incarnation is unknown because
+        an earlier leader began the maintenance, only an incarnation that is
+        first seen late is accepted.
 
-        A life that is first known late is the next one. Its VM is used again
-        1.3 s sooner than by its second beat (half of the VMs of a wave of 112).
-        A life from before the order is known at once, unless its first beat
-        was late; so nearly the whole upkeep has to be over.
+        An incarnation that is first seen late is the next one. Accepting it
+        without a second heartbeat makes its VM usable 1.3 s sooner (median of a
+        wave of 112 VMs). An incarnation from before the order is normally known
+        at once, but its first heartbeat may be late; so nearly the whole
+        maintenance time must have passed.
         """
         before = self.life_before_by_vm.get(vm, agent.minion.id)
         if agent.met_at > settled_at + NEW_LIFE_PART * self.upkeep_seconds:
@@ -295,9 +307,10 @@
         return agent.beat_at > settled_at + self.upkeep_seconds / 2
 
     def is_listed_back(self, vm, settled_at, now):
-        """Whether the platform lists a VM that stays silent as not in upkeep.
+        """Whether the platform's list shows that a VM has left maintenance.
 
-        A VM that is off, in a pool of spares, has no minion that could speak.
+        This covers VMs of spare pools, which are off and have no minion that
+        could report.
         """
         if now < settled_at + self.upkeep_seconds + LIST_LAG_SECONDS:
             return False
@@ -307,7 +320,7 @@
         return is_fresh and row is not None and row.state is not VmState.UPKEEP
 
     def read_list_if_due(self, now):
-        """Read the platform's list, unless that was done lately."""
+        """Read the platform's VM list if the last read is `LIST_SECONDS` old."""
         if now <= self.listed_at + LIST_SECONDS:
             return
         self.listed_at = now
@@ -316,5 +329,5 @@
             return
         self.row_by_vm = {row.vm: row for row in listed.rows}
         self.rows_at = now
-        # A VM that is missing may be one whose entry could not be read.
-        self.is_list_whole = not listed.unread
+        # A missing VM may be one whose entry could not be read.
+        self.is_list_complete = not listed.unread
