--- a/hingepitch/jobs/demand.py
+++ b/hingepitch/jobs/demand.py
@@ -2,8 +2,8 @@
 hingepitch.jobs.demand
 ~~~~~~~~~~~~~~~~~~~~~~
 
-How many minions each pool wants, by what one leader has seen of it: what
-runs, waits and arrives now, and what was wanted a moment ago.
+Estimates how many minions each pool wants, from the running, waiting and
+arriving work that one leader has seen, and from the recent peak.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -16,28 +16,30 @@
 
 __all__ = ["Demand"]
 
-#: A pool in which tasks wait for so long wants one more minion, in seconds.
+#: A pool in which tasks have waited for this time wants one more minion, in
+#: seconds.
 STARVING_SECONDS = 0.4
 
-#: Idle VMs stay where they are for so long after the first work that a leader
-#: sees, in seconds: it knows no pool's demand before. Source: a burst shows its
-#: width within its longest jobs, about 2 s.
+#: A leader moves no idle VMs to spare pools for this time after the first work
+#: that it sees, in seconds: it does not know the demand before. Source: a burst
+#: shows its full size within the duration of its longest jobs, about 2 s.
 LEARNING_SECONDS = 2.0
 
-#: A pool keeps wanting what it wanted within this time, in seconds. Source:
-#: 2 s kept pools at twice of what they used for seconds behind each burst.
+#: A pool wants as many minions as at its peak within this time, in seconds.
+#: Source: with 2 s, pools stayed at twice of what they used for seconds after
+#: each burst.
 PEAK_SECONDS = 0.5
 
 
 @dataclass(slots=True)
 class Peak:
-    """The most that a pool wanted lately."""
+    """Highest number of minions that a pool wanted within `PEAK_SECONDS`."""
 
     wanted: int = 0
     at: float = 0.0
 
     def note(self, wanted, now):
-        """Note what is wanted now; return the peak."""
+        """Record the number wanted now; return the peak."""
         if wanted >= self.wanted or now - self.at > PEAK_SECONDS:
             self.wanted = wanted
             self.at = now
@@ -45,14 +47,14 @@
 
 
 class Demand:
-    """What one leadership has seen of the demand of the pools.
+    """Demand of the pools, as seen during one leadership.
 
     `session`
-        The leadership: its table and its durations.
+        The `Session` of the leadership.
     `terms`
         A `PoolTerms`.
     `worked_since`
-        Since when work has been seen, or None.
+        When this leadership first saw work, or None.
     """
 
     def __init__(self, session, terms):
@@ -62,11 +64,11 @@
         self.rate_by_pool = {}
         self.peak_by_pool = {}
         self.waiting_since_by_pool = {}
-        # What came under earlier leaders does not arrive now.
+        # Jobs accepted under earlier leaders do not count as arriving now.
         session.table.take_arrived_jobs()
 
     def is_known(self, now):
-        """Whether work has been seen for long enough to give VMs back."""
+        """Whether work has been seen for long enough to release idle VMs."""
         if self.worked_since is None and self.session.table.has_had_work:
             self.worked_since = now
         return (
@@ -74,7 +76,10 @@
         )
 
     def note_arrivals(self, now):
-        """Note the work of the jobs that were accepted since the last step."""
+        """Record the work of the jobs that were accepted since the last call.
+
+        Repeated jobs are left out.
+        """
         table = self.session.table
         for job_id in table.take_arrived_jobs():
             job = table.job_by_id.get(job_id)
@@ -86,15 +91,16 @@
             rate.note(work_core_ms(job.spec, expected_ms), now)
 
     def arriving(self, pool, now):
-        """Return the millicores that keep up with what arrives at a pool."""
+        """Return the millicores needed for the work that arrives at a pool."""
         rate = self.rate_by_pool.get(pool)
         return rate.millicores(now) if rate is not None else 0
 
     def wanted(self, pool, load, now):
-        """Return how many minions a pool of `load` wants.
+        """Return how many minions a pool wants, given its `PoolLoad`.
 
-        Nothing, until its first minions have come. A pool that has lost all of
-        them is wanted back.
+        A pool without minions wants none until the demand is known: its first
+        minions have not registered yet. Later it has lost all of its minions
+        and wants replacements.
         """
         if not load.minions and not self.is_known(now):
             return 0
@@ -104,9 +110,10 @@
         return self.peak_by_pool.setdefault(pool, Peak()).note(wanted, now)
 
     def is_starving(self, pool, load, now):
-        """Whether tasks of a pool have waited for long, whatever they lack.
+        """Whether tasks of a pool have waited for longer than `STARVING_SECONDS`.
 
-        Room that is free in sum may be in pieces too small for any of them.
+        This also detects fragmentation: the free capacity may suffice in sum
+        but fit no task on any single minion.
         """
         if not load.waiting_tasks:
             self.waiting_since_by_pool.pop(pool, None)
--- a/hingepitch/jobs/dispatch.py
+++ b/hingepitch/jobs/dispatch.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.dispatch
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-Runs a session for each time that this process leads.
+Runs one dispatch session for each leadership of this process.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -18,20 +18,21 @@
 
 __all__ = ["Dispatcher"]
 
-#: Time between two questions whether this replica leads, in seconds.
+#: Time between two checks whether this replica leads, in seconds.
 POLL_SECONDS = 0.02
 
-#: Pause after a session that a fault of the program ended, in seconds: one that
-#: comes back at once must not keep the replica busy with nothing else.
+#: Pause after a session that ended with an unexpected exception, in seconds, so
+#: that a fault that recurs at once does not keep the replica busy.
 FAILED_SECONDS = 0.2
 
 
 class Dispatcher:
-    """Runs a session for each leadership of this process.
+    """Runs one `Session` after another, one for each leadership.
 
-    `replica`, `roster`, `connect`, `terms`, `name`, `platform`,
-    `adviser`, `metrics`
-        As for `Session`; `roster` hears the minions.
+    `roster`
+        The `MinionRoster` that receives the minions' heartbeats.
+    `replica`, `connect`, `terms`, `name`, `platform`, `adviser`, `metrics`
+        As for `Session`.
     """
 
     def __init__(
@@ -59,7 +60,7 @@
         roster.is_present = self.is_present
 
     def run(self):
-        """Wait for the leadership and use it, again and again."""
+        """Wait for leadership and run a session, repeatedly, until killed."""
         while True:
             pause = POLL_SECONDS
             if self.replica.is_leader and self.is_confirmed():
@@ -68,15 +69,15 @@
             gevent.sleep(pause)
 
     def is_confirmed(self):
-        """Whether this replica leads and has applied what was committed."""
+        """Whether this replica leads and has applied all committed entries."""
         try:
             self.replica.confirm()
             return True
         except HingepitchError:
-            return False  # Not an error: another replica leads, or none yet.
+            return False  # Expected while another replica leads, or none yet.
 
     def lead(self):
-        """Lead until the leadership has passed; return whether a fault ended it."""
+        """Run a session until it ends; return whether a fault ended it."""
         self.session = Session(
             self.replica,
             self.connect,
@@ -101,12 +102,16 @@
             self.roster.clear()
 
     def note_beat(self, minion_id, clock_ms):
-        """Pass a beat on to the session, if there is one."""
+        """Pass a heartbeat on to the current session, if there is one."""
         if self.session is not None:
             self.session.note_beat(minion_id, clock_ms)
 
     def take_blame(self, life):
-        """Return the `Blame` for a life that is over, as far as it was seen."""
+        """Return the `Blame` for an incarnation that has ended.
+
+        Without a session nothing has been observed of its runs, so the `Blame`
+        rests on the job table alone.
+        """
         if self.session is None:
             return unseen_blame(self.replica.state.jobs, life)
         blame = self.session.blame(life)
@@ -114,5 +119,5 @@
         return blame
 
     def is_present(self, minion):
-        """Whether a life answers a call now; False while nobody may call it."""
+        """Whether an incarnation answers a call now; False without a session."""
         return self.session is not None and self.session.agents.is_present(minion)
--- a/hingepitch/jobs/load.py
+++ b/hingepitch/jobs/load.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.load
 ~~~~~~~~~~~~~~~~~~~~
 
-How loaded each pool is: what its minions have, what runs, what waits.
+Measures the load of each pool: capacity, running work and waiting work.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -19,23 +19,23 @@
 
 @dataclass(slots=True)
 class PoolLoad:
-    """The load of one pool; processors in millicores, memory in MB.
+    """The load of one pool; CPU in millicores, memory in MB (`..._mb`).
 
-    `room`, `room_mb`
-        Of all minions that are not draining.
+    `minions`, `room`, `room_mb`
+        Number and total capacity of the minions that are not draining.
     `running`, `running_mb`
-        Asked for by the runs that go on; `lasting` is the part of the
-        processors that serves.
+        Requested by the runs in progress.
+    `lasting`
+        Part of `running` that belongs to long-running tasks.
     `waiting`, `waiting_mb`, `waiting_tasks`
-        Asked for by tasks whose turn has come, and how many they are.
+        Requested by the waiting tasks of ready steps, and their number.
     `waiting_late`, `waiting_late_mb`
-        The part of them whose jobs cannot be in time any more.
+        Part of `waiting` whose jobs can no longer meet their deadline.
     `spread`
-        Minions that a waiting step needs because each may carry only so many
-        of its tasks.
+        Minions that the widest waiting step needs because of `max_per_minion`.
     `largest`
-        The most of each size that a minion has. Tasks over it are not counted
-        as waiting: no further minion would help them.
+        The largest CPU, memory and accelerators of any minion. Tasks that need
+        more do not count as waiting, since no further minion would help them.
     """
 
     minions: int = 0
@@ -53,7 +53,7 @@
     largest: Room = field(default_factory=Room)
 
     def can_hold(self, step):
-        """Whether a minion of the pool could run a task of `step` when empty."""
+        """Whether `step` needs no more than the `largest` minion resources."""
         return (
             step.counted_millicores <= self.largest.cpu_millicores
             and step.memory_mb <= self.largest.memory_mb
@@ -62,10 +62,12 @@
 
 
 def measure_pools(table, now_ms, durations):
-    """Return the `PoolLoad` of each pool, by name; `now_ms` since the epoch.
+    """Return the `PoolLoad` of each pool by name.
 
+    `now_ms`
+        The current time, in milliseconds since the epoch.
     `durations`
-        What is known of the run times, a `Durations`.
+        A `Durations` with the expected run times.
     """
     load_by_pool = {}
     for minion in table.minion_by_id.values():
@@ -83,7 +85,7 @@
 
 
 def add_minion(load, table, minion):
-    """Count a minion and its runs."""
+    """Add a minion and its runs to the load of its pool."""
     taken = table.taken_by_minion[minion.id]
     load.running += taken.cpu_millicores
     load.running_mb += taken.memory_mb
@@ -98,7 +100,7 @@
 
 
 def add_waiting(load, table, policy, step_key, now_ms, durations):
-    """Count the waiting tasks of a step whose turn has come."""
+    """Add the waiting tasks of a ready step to the load of its pool."""
     job_id, round_number, step_number = step_key
     job = table.job_by_id[job_id]
     step = job.spec.steps[step_number]
--- a/hingepitch/jobs/pool.py
+++ b/hingepitch/jobs/pool.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.pool
 ~~~~~~~~~~~~~~~~~~~~
 
-Which VMs change pool: pure functions over the load of the pools.
+Plans which VMs move to another pool: pure functions over the load of the pools.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -16,25 +16,25 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolTerms:
-    """When VMs change pool; times in seconds.
+    """Thresholds for moving VMs between pools; times in seconds.
 
     `use_part`
-        Part of the room of a pool that may be in use before it wants more.
+        Target utilization: part of a pool's capacity that may be in use before
+        the pool wants more VMs.
     `late_part`
-        Part of the waiting tasks of jobs that are late already for which a
-        pool wants room. They are worth little, so they run one after another
-        in the room of the others. Source: with all of them counted, pools
-        grew to three times of what they used behind each burst.
+        Part of the waiting tasks of late jobs that counts as demand. Such jobs
+        are worth little, so their tasks run one after another in the capacity
+        of the others. Source: with all of them counted, pools grew to three
+        times of what they used after each burst.
     `floor`
-        Minions that a pool with queues keeps, however little it has to do.
+        Smallest number of minions of a pool with queues.
     `idle_seconds`
-        A VM that was idle for longer is given to the spares. Source: a move
-        there and back costs as much as keeping a VM for about 2.3 s; a pool
-        that has fallen idle mostly stays so for longer. 1.5 s served 2 % more
-        of the work of the worst two seconds and cost 5 % more VM-seconds: no
-        gain where the worst seconds weigh most, a loss where VMs do.
+        A VM that is idle for longer moves to a spare pool. Source: a move there
+        and back costs as much as keeping a VM for about 2.3 s, and an idle pool
+        mostly stays idle for longer. With 1.5 s, pools served 2 % more of the
+        work of the worst two seconds but cost 5 % more VM-seconds.
     `lend_seconds`
-        A VM that was idle for longer may go to a pool that wants it.
+        A VM that is idle for longer may move to a pool that wants more VMs.
     """
 
     use_part: float = 0.85
@@ -46,10 +46,12 @@
 
 @dataclass(frozen=True, slots=True)
 class IdleVm:
-    """A VM with nothing to do.
+    """A VM without runs, which may move.
 
     `kind`
-        VMs of another kind may not fit a pool.
+        The VM's kind, which a pool may not accept.
+    `idle_seconds`
+        How long it has been idle.
     """
 
     vm: str
@@ -59,14 +61,18 @@
 
 @dataclass(slots=True)
 class PoolView:
-    """One pool, for a decision.
+    """State of one pool for a move decision.
 
-    `wanted`, `present`
-        Minions that it wants; that it has, or will have from moves begun.
-    `kinds`
-        Kinds of its VMs, as far as they were seen; empty: any.
+    `wanted`
+        Number of minions that the pool wants.
+    `present`
+        Number of minions that it has, moves in progress included.
     `is_spare`
-        Its VMs are off and cost nothing.
+        Whether its VMs are off and cost nothing.
+    `kinds`
+        Kinds of its VMs; if empty, the pool accepts any kind.
+    `idle`
+        Its idle VMs.
     """
 
     name: str
@@ -77,8 +83,8 @@
     idle: list[IdleVm] = field(default_factory=list)
 
     @property
-    def may_give(self):
-        """How many VMs may leave the pool."""
+    def surplus(self):
+        """Number of VMs that the pool can give away."""
         if self.is_spare:
             return len(self.idle)
         return max(0, self.present - self.wanted)
@@ -86,17 +92,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Move:
-    """One VM goes to another pool."""
+    """The move of one VM to another pool."""
 
     vm: str
     pool: str
 
 
 def wanted_minions(load, terms, arriving=0):
-    """Return how many minions a pool of `load` wants.
+    """Return how many minions a pool wants.
 
+    `load`
+        The `PoolLoad` of the pool.
     `arriving`
-        Millicores that keep up with the work that arrives.
+        Millicores needed to keep up with the arriving work.
     """
     spared = 1 - terms.late_part
     present = load.running + load.waiting - spared * load.waiting_late
@@ -114,50 +122,55 @@
 
 
 def plan_moves(pools, terms, impossible=frozenset(), may_give_back=True):
-    """Yield the moves that the pools want now.
+    """Yield the moves to make now, for the pools most short of VMs first.
 
+    `pools`
+        The `PoolView` of each pool, updated by the planned moves.
     `impossible`
-        Pairs of kind and pool that the platform has refused.
+        Pairs of VM kind and pool that the platform has refused.
     `may_give_back`
-        Whether idle VMs may go to the spares. Until work has come, the sizes
-        that the operators gave the pools are all that is known of the demand.
+        Whether idle VMs may move to a spare pool. Until work has arrived, the
+        configured pool sizes are all that is known of the demand.
     """
     for pool in sorted(pools, key=lambda one: one.present - one.wanted):
-        yield from borrow(pool, pools, terms, impossible)
+        yield from moves_into(pool, pools, terms, impossible)
     spare = next((pool for pool in pools if pool.is_spare), None)
     if spare is not None and may_give_back:
-        yield from give_back(spare, pools, terms, impossible)
+        yield from moves_to_spare(spare, pools, terms, impossible)
 
 
-def borrow(pool, pools, terms, impossible):
-    """Yield moves into a pool that wants more than it has."""
+def moves_into(pool, pools, terms, impossible):
+    """Yield moves into a pool that wants more VMs, from spare pools first."""
     if pool.is_spare:
         return
     donors = [one for one in pools if one is not pool]
-    donors.sort(key=lambda one: (not one.is_spare, -one.may_give))
+    donors.sort(key=lambda one: (not one.is_spare, -one.surplus))
     for donor in donors:
-        while pool.present < pool.wanted and donor.may_give:
+        while pool.present < pool.wanted and donor.surplus:
             idle = pick_idle(donor, pool, terms.lend_seconds, impossible)
             if idle is None:
                 break
-            take(donor, idle)
+            remove_idle(donor, idle)
             pool.present += 1
             yield Move(idle.vm, pool.name)
 
 
-def give_back(spare, pools, terms, impossible):
-    """Yield moves of VMs that have been idle for long to the spares."""
+def moves_to_spare(spare, pools, terms, impossible):
+    """Yield moves of long-idle VMs to the pool `spare`."""
     for pool in pools:
-        while not pool.is_spare and pool.may_give:
+        while not pool.is_spare and pool.surplus:
             idle = pick_idle(pool, spare, terms.idle_seconds, impossible)
             if idle is None:
                 break
-            take(pool, idle)
+            remove_idle(pool, idle)
             yield Move(idle.vm, spare.name)
 
 
 def pick_idle(donor, pool, seconds, impossible):
-    """Return the VM of `donor` that has been idle the longest, or None."""
+    """Return the longest idle VM of `donor` that may move to `pool`, or None.
+
+    VMs of a spare pool need not be idle for `seconds`.
+    """
     fitting = [
         idle
         for idle in donor.idle
@@ -168,7 +181,7 @@
     return max(fitting, key=lambda idle: idle.idle_seconds, default=None)
 
 
-def take(donor, idle):
-    """Count a VM out of its pool."""
+def remove_idle(donor, idle):
+    """Remove a VM from the view of its pool."""
     donor.idle.remove(idle)
     donor.present -= 1
