--- a/hingepitch/jobs/arrival.py
+++ b/hingepitch/jobs/arrival.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.arrival
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-How much work arrives: the demand of a pool before it shows as a queue.
+Measures the rate of arriving work, which shows demand before tasks queue up.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -13,24 +13,26 @@
 
 __all__ = ["ArrivalRate", "work_core_ms"]
 
-#: Time over which arrivals are counted, in seconds. Source: a VM takes 1.6 s to
-#: come, and callers are late after 1.2 to 1.5 s of waiting; a longer window
-#: sees a burst too late.
+#: Sliding window over which arrivals are counted, in seconds. Source: a VM takes
+#: 1.6 s to move, and jobs are late after waiting 1.2 to 1.5 s; a longer window
+#: would detect a burst too late.
 WINDOW_SECONDS = 0.5
 
-#: Standard errors of the number of arrivals that are taken off. Source: a VM
-#: too many costs about 2 s of a VM, a job that is late the work of several; a
-#: whole one ordered VMs one arrival later.
-ERRORS_OFF = 0.5
+#: Number of standard errors subtracted from the number of arrivals. Source: an
+#: unneeded VM costs about 2 VM-seconds, a late job the work of several; with 1.0,
+#: VMs were ordered one arrival later.
+SUBTRACTED_ERRORS = 0.5
 
 
 def work_core_ms(spec, expected_ms):
     """Return the work of a job, in core-milliseconds.
 
-    Tasks that last are no work of this kind: they never end.
+    Long-running tasks do not count, since they never end.
 
+    `spec`
+        The job's specification.
     `expected_ms`
-        Function from a step to the time of one of its tasks.
+        Function from a step to the expected run time of one of its tasks.
     """
     total = sum(
         step.count * step.counted_millicores * expected_ms(step)
@@ -41,20 +43,21 @@
 
 
 class ArrivalRate:
-    """The work that came to one pool lately."""
+    """The rate of work that arrives at one pool."""
 
     def __init__(self):
         self.arrivals = deque()
 
     def note(self, core_ms, now):
-        """Note work that came at `now`, in seconds."""
+        """Record `core_ms` of work that arrived at `now`, in seconds."""
         self.arrivals.append((now, core_ms))
 
     def millicores(self, now):
-        """Return the millicores that keep up with what arrives.
+        """Return the millicores needed to keep up with the arriving work.
 
-        By Little's law, work per time is the number of cores in use. Few
-        arrivals say little, so a part of their standard error is taken off.
+        By Little's law, work per time is the number of cores in use. A small
+        number of arrivals is a weak estimate, so `SUBTRACTED_ERRORS` of its
+        standard error are subtracted.
         """
         while self.arrivals and now - self.arrivals[0][0] > WINDOW_SECONDS:
             self.arrivals.popleft()
@@ -62,4 +65,4 @@
         if not count:
             return 0
         core_ms = sum(one for _, one in self.arrivals)
-        return core_ms / WINDOW_SECONDS * (1 - ERRORS_OFF / sqrt(count))
+        return core_ms / WINDOW_SECONDS * (1 - SUBTRACTED_ERRORS / sqrt(count))
--- a/hingepitch/jobs/duration.py
+++ b/hingepitch/jobs/duration.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.duration
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-How long tasks take: the callers' estimates, corrected by what was observed.
+Predicts how long tasks take: the callers' estimates, corrected by observation.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -15,30 +15,34 @@
 
 __all__ = ["Durations", "Fit"]
 
-#: Steps of a queue that must have been observed before its estimates are
-#: corrected. Source: the error of a mean of eight is a third of the spread.
+#: Number of observed steps of a queue from which on its estimates are corrected.
+#: Source: the error of a mean of eight is a third of the standard deviation.
 STEPS_TO_LEARN = 8.0
 
-#: What remains of the weight of earlier observations at each new step. Source:
-#: half of the weight lies in the last 70 steps, so a change of the workload
-#: is followed within some dozens of jobs.
-REMEMBERED = 0.99
+#: Factor by which each new step reduces the weight of earlier observations.
+#: Source: half of the weight lies in the last 70 steps, so the fit follows a
+#: change of the workload within some dozens of jobs.
+DECAY_PER_STEP = 0.99
 
 
-#: Parts of a step are added up from thirds and the like, so their sum may be
-#: this much below a whole one.
+#: Rounding tolerance: the weights of a step's tasks, such as thirds, may add up
+#: to slightly less than 1.
 WHOLE_STEP_SLACK = 1e-9
 
-#: Standard error of the logarithm of an estimate before enough was observed.
-#: Source: callers' estimates were off by a half to nine tenths; the lower one.
-FIRST_ERROR = 0.5
+#: Standard error of the logarithm of an estimate before enough steps were
+#: observed. Source: callers' estimates are off by a half to nine tenths; the
+#: lower value is used.
+INITIAL_ERROR = 0.5
 
 
 class Line(NamedTuple):
-    """What a `Fit` amounts to.
+    """A regression line from the logarithm of estimates to that of run times.
 
+    `mean_x`, `mean_y`
+        Mean logarithm of the estimates and of the observed times.
     `slope`
-        How much of a difference between estimates is believed, 0 to 1.
+        Part of a difference between estimates that carries over to the
+        expected times, 0 to 1.
     `error`
         Standard error of the logarithm of an expected time.
     """
@@ -51,15 +55,24 @@
 
 @dataclass(slots=True)
 class Fit:
-    """A line through the logarithms of estimates and observed times.
-
-    Estimates that say nothing get the slope 0: then all tasks of the queue
-    are expected to take what they took on average. Estimates that are right
-    get the slope 1. `weight` counts observed steps; the others are weighted
-    sums of the estimates (`x`), the observed times (`y`) and their products.
-
-    Plans ask for the same few times again and again, so the answers are kept
-    until another whole step was observed. What that saves was not measured.
+    """A weighted linear regression of observed times on estimates, as logarithms.
+
+    Estimates without information get the slope 0: all tasks of the queue are
+    then expected to take the mean observed time. Correct estimates get the
+    slope 1.
+
+    `weight`
+        Number of observed steps, with older ones decayed.
+    `x`, `y`, `xx`, `xy`, `yy`
+        Weighted sums of the logarithms of the estimates (`x`) and of the
+        observed times (`y`), and of their products.
+    `weight_since_fit`
+        Weight observed since the last `refresh`.
+    `line`
+        The current `Line`, or None before `STEPS_TO_LEARN` steps.
+    `expected_by_estimate`
+        Cache of expected times, valid until the next `refresh`: a planning pass
+        asks for the same few estimates repeatedly.
     """
 
     weight: float = 0.0
@@ -68,13 +81,17 @@
     xx: float = 0.0
     xy: float = 0.0
     yy: float = 0.0
-    unused_weight: float = 0.0
+    weight_since_fit: float = 0.0
     line: Line | None = None
     expected_by_estimate: dict[int, float] = field(default_factory=dict)
 
     def note(self, estimate_ms, took_ms, weight):
-        """Take one observed task into account."""
-        kept = REMEMBERED**weight
+        """Add the observation of one task.
+
+        `weight`
+            The task's part of its step.
+        """
+        kept = DECAY_PER_STEP**weight
         x, y = log(estimate_ms), log(took_ms)
         self.weight = kept * self.weight + weight
         self.x = kept * self.x + weight * x
@@ -82,29 +99,32 @@
         self.xx = kept * self.xx + weight * x * x
         self.xy = kept * self.xy + weight * x * y
         self.yy = kept * self.yy + weight * y * y
-        self.unused_weight += weight
-        if self.unused_weight >= 1 - WHOLE_STEP_SLACK:
+        self.weight_since_fit += weight
+        if self.weight_since_fit >= 1 - WHOLE_STEP_SLACK:
             self.refresh()
 
     def refresh(self):
-        """Draw the line anew, once enough was observed."""
-        self.unused_weight = 0.0
+        """Clear the cache, and fit the line again if enough steps were observed."""
+        self.weight_since_fit = 0.0
         self.expected_by_estimate.clear()
         if self.weight >= STEPS_TO_LEARN:
-            self.line = self.draw()
-
-    def draw(self):
-        """Return the `Line` through what was observed."""
-        of_x = self.xx - self.x * self.x / self.weight
-        of_y = self.yy - self.y * self.y / self.weight
-        together = self.xy - self.x * self.y / self.weight
-        slope = min(1.0, max(0.0, together / of_x)) if of_x > 0 else 0.0
-        left = of_y - 2 * slope * together + slope * slope * of_x
-        error = sqrt(max(0.0, left) / self.weight)
+            self.line = self.fit_line()
+
+    def fit_line(self):
+        """Return the `Line` that fits the observations."""
+        x_squares = self.xx - self.x * self.x / self.weight
+        y_squares = self.yy - self.y * self.y / self.weight
+        cross_products = self.xy - self.x * self.y / self.weight
+        slope = min(1.0, max(0.0, cross_products / x_squares)) if x_squares > 0 else 0.0
+        residual = y_squares - 2 * slope * cross_products + slope * slope * x_squares
+        error = sqrt(max(0.0, residual) / self.weight)
         return Line(self.x / self.weight, self.y / self.weight, slope, error)
 
     def expected_ms(self, estimate_ms):
-        """Return the expected time of a task, the estimate itself at first."""
+        """Return the expected run time for an estimate, cached.
+
+        This is the estimate itself until enough steps were observed.
+        """
         expected = self.expected_by_estimate.get(estimate_ms)
         if expected is None:
             expected = self.compute_ms(estimate_ms)
@@ -112,7 +132,7 @@
         return expected
 
     def compute_ms(self, estimate_ms):
-        """Return the expected time by the line."""
+        """Compute the expected run time for an estimate from the line."""
         if self.line is None:
             return estimate_ms
         from_mean = log(estimate_ms) - self.line.mean_x
@@ -120,39 +140,42 @@
 
     def error(self):
         """Return the standard error of the logarithm of an expected time."""
-        return self.line.error if self.line is not None else FIRST_ERROR
+        return self.line.error if self.line is not None else INITIAL_ERROR
 
 
 class Durations:
-    """What one leader has observed of the queues, by their place.
+    """Expected run times, learned by one leader for each queue.
+
+    Without the correction, estimates that are off by half or more would mark
+    jobs as late that are not, and would size pools by noise. A new leader
+    starts without observations and learns within a dozen jobs of a queue.
 
-    Estimates that are off by half and more call jobs late that are not, and
-    size pools by noise: this protects jobs from both. A leader starts without
-    knowledge and learns again within a dozen jobs of a queue.
+    `fit_by_place`
+        The `Fit` of each queue, by the queue's place.
     """
 
     def __init__(self):
         self.fit_by_place = {}
 
     def note(self, place, step, took_ms):
-        """Note how long one task of `step` took, from its start to its end."""
+        """Record how long one task of `step` ran, from its start to its end."""
         if step.lasts or step.estimate_ms <= 0 or took_ms <= 0:
             return
         fit = self.fit_by_place.setdefault(place, Fit())
         fit.note(step.estimate_ms, took_ms, 1 / step.count)
 
     def expected_ms(self, place, step):
-        """Return how long a task of `step` is expected to take."""
+        """Return the expected run time of a task of `step`, in milliseconds."""
         fit = self.fit_by_place.get(place)
         if fit is None or step.estimate_ms <= 0:
             return step.estimate_ms
         return fit.expected_ms(step.estimate_ms)
 
     def error(self, place):
-        """Return the standard error of the logarithm of an expected time."""
+        """Return the standard error of the logarithm of a queue's expected times."""
         fit = self.fit_by_place.get(place)
-        return fit.error() if fit is not None else FIRST_ERROR
+        return fit.error() if fit is not None else INITIAL_ERROR
 
     def of_queue(self, place):
-        """Return the function from a step of a queue to its expected time."""
+        """Return a function from a step of a queue to its expected run time."""
         return partial(self.expected_ms, place)
--- a/hingepitch/jobs/gauge.py
+++ b/hingepitch/jobs/gauge.py
@@ -2,7 +2,7 @@
 hingepitch.jobs.gauge
 ~~~~~~~~~~~~~~~~~~~~~
 
-What the leader counts and times, for its metrics.
+Records the metrics of the dispatching leader.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -18,18 +18,19 @@
 
 __all__ = ["DispatchGauge"]
 
-#: What a leader makes of a minion, the worst that fits: does not answer, fails
-#: what it runs, or may not be used for another reason.
+#: States of a minion in the metrics, of which the first that applies counts: it
+#: does not respond, its runs fail, it may not be used for another reason, or it
+#: is usable.
 MINION_STATES = ("silent", "sick", "unused", "usable")
 
 
 class DispatchGauge:
-    """Counters and latency histograms of one leadership.
+    """Records counters, gauges and latency histograms during one leadership.
 
     `metrics`
-        The `Metrics` of the process; it outlives the leadership.
+        The `Metrics` of the process, which outlive the leadership.
     `session`
-        The leadership, for its table.
+        The `Session` of the leadership, whose job table is read.
     """
 
     def __init__(self, metrics, session):
@@ -37,7 +38,7 @@
         self.session = session
 
     def note_commit(self, command, seconds):
-        """Time a command from the leader's proposal to its commit."""
+        """Record the time of a command from its proposal to its commit."""
         self.metrics.observe(
             "commit_seconds",
             "From proposal to commit.",
@@ -46,7 +47,7 @@
         )
 
     def note_order(self, order, run, reply):
-        """Count an order by its reply, and time the first start of a job."""
+        """Count an order by its reply; record the time until a job's first start."""
         self.metrics.count(
             "orders", "Orders to minions.", order=order, reply=reply.kind.value
         )
@@ -57,7 +58,11 @@
                 self.observe_since("first_start_seconds", job, wall_ms())
 
     def note_ends(self, ends, cause, at_ms):
-        """Count ends by their result and cause, and time the jobs that they end."""
+        """Count ended runs by result and cause; time the jobs that they end.
+
+        `at_ms`
+            When the ends were recorded, in milliseconds since the epoch.
+        """
         for end in ends:
             self.metrics.count("runs_ended", "Runs by end.", result=end.result.value)
         self.metrics.count(
@@ -69,13 +74,17 @@
                 self.observe_since("job_seconds", job, at_ms, status=job.status.value)
 
     def note_failure(self, name):
-        """Count a failure of a part of the leader's work that ended nothing else."""
+        """Count a failure that was contained in one part of the leader's work."""
         self.metrics.count(
             "session_failures", "Failures of parts of the leader's work.", part=name
         )
 
     def note_crash(self, blame):
-        """Count a life of a minion that ended unplanned, and the runs lost with it."""
+        """Count an incarnation that crashed under runs, and the exposed runs.
+
+        `blame`
+            The `Blame` of the incarnation.
+        """
         if not blame.exposed:
             return
         self.metrics.count(
@@ -88,7 +97,7 @@
         )
 
     def note_unread(self, look):
-        """Count the rows of a look that could not be read."""
+        """Count the rows of a status poll that could not be read."""
         for kind, count in (
             ("running", look.unread_running),
             ("ended", look.unread_ended),
@@ -97,10 +106,10 @@
                 self.metrics.count("rows_unread", "Unread rows.", count, kind=kind)
 
     def note_minions(self, agents, now):
-        """Show how many minions are in which state, and runs in which status.
+        """Set the number of minions by state and of runs by status.
 
         `now`
-            On `lease_seconds`.
+            The time as `lease_seconds` returns it.
         """
         states = Counter(minion_state(agent, now) for agent in agents)
         for state in MINION_STATES:
@@ -113,7 +122,7 @@
             )
 
     def note_waiting(self, table):
-        """Show how many tasks wait whose turn has come, by whether they last."""
+        """Set the number of waiting tasks of ready steps, by whether they last."""
         waiting = Counter()
         for job_id, round_number, number in table.ready_steps:
             job = table.job_by_id[job_id]
@@ -123,7 +132,7 @@
         self.show_waiting(waiting)
 
     def note_suspects(self, crashes):
-        """Show how many tasks are under suspicion, and how many lives are silent."""
+        """Set the number of suspected tasks and of unresponsive incarnations."""
         suspects = sum(1 for job in crashes.jobs() for _ in crashes.suspects(job))
         self.metrics.set("suspects", "Tasks that start apart.", suspects)
         self.metrics.set(
@@ -133,7 +142,11 @@
         )
 
     def show_waiting(self, waiting):
-        """Show the tasks that wait; `waiting`: count by whether they last."""
+        """Set the number of waiting tasks.
+
+        `waiting`
+            Their number by whether they are long-running.
+        """
         for lasts in (False, True):
             self.metrics.set(
                 "tasks_waiting",
@@ -143,19 +156,19 @@
             )
 
     def show_nothing(self):
-        """Show that this process does not lead: others make the decisions now."""
+        """Set all gauges to 0, since this process no longer leads."""
         self.note_minions((), 0.0)
         self.show_waiting(Counter())
         self.note_suspects(CrashBook())
 
     def observe_since(self, name, job, at_ms, **labels):
-        """Time a job from its acceptance until `at_ms` since the epoch."""
+        """Record the time from a job's acceptance until `at_ms` since the epoch."""
         seconds = (at_ms - job.accepted_ms) / 1000
         self.metrics.observe(name, "From acceptance.", seconds, **labels)
 
 
 def minion_state(agent, now):
-    """Return which of `MINION_STATES` the minion of `agent` is in."""
+    """Return the state of the minion of `agent`, one of `MINION_STATES`."""
     if agent.is_silent:
         return "silent"
     if agent.health.is_sick(now):
--- a/hingepitch/jobs/pace.py
+++ b/hingepitch/jobs/pace.py
@@ -2,8 +2,8 @@
 hingepitch.jobs.pace
 ~~~~~~~~~~~~~~~~~~~~
 
-How fast tasks that fill spare processor time may work beside tasks that
-serve: a pure decision over what one look shows.
+Throttling of tasks that use spare CPU time (`fills_spare_cpu`), so that they
+do not slow down the serving tasks on the same minion.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -15,22 +15,24 @@
 
 FULL_PERCENT = 100
 
-#: From this part of its target on, a serving task is in danger and the
-#: fillers beside it stop; below the other part they may work faster. Source:
-#: the tail is a rough figure of half a second, so both keep a distance.
-DANGER_PART = 0.8
-CALM_PART = 0.5
+#: Parts of a serving task's target latency: from `STOP_PART` on the fillers on
+#: its minion are paused, below `SPEED_UP_PART` they may work faster. Source: the
+#: tail latency is a rough estimate over half a second, so both keep a margin.
+STOP_PART = 0.8
+SPEED_UP_PART = 0.5
 
-#: Percent by which fillers are let go again, a look.
+#: Increase of the fillers' pace per status poll, in percentage points.
 STEP_PERCENT = 25
 
 
 @dataclass(frozen=True, slots=True)
 class Neighbour:
-    """A serving task on the same minion.
+    """A serving task on the same minion as a filler.
 
-    `tail_ms`, `target_ms`
-        Its tail latency now, and the largest wanted.
+    `tail_ms`
+        Its current tail latency.
+    `target_ms`
+        The highest tail latency that it should have; 0 means no limit.
     """
 
     tail_ms: int
@@ -38,11 +40,17 @@
 
 
 def next_percent(percent, neighbours):
-    """Return the pace of the fillers on a minion after a look."""
+    """Return the new pace of the fillers on a minion, in percent.
+
+    `percent`
+        Their current pace.
+    `neighbours`
+        The serving tasks on the minion, from the last status poll.
+    """
     parts = [one.tail_ms / one.target_ms for one in neighbours if one.target_ms]
     worst = max(parts, default=0.0)
-    if worst >= DANGER_PART:
+    if worst >= STOP_PART:
         return 0
-    if worst < CALM_PART:
+    if worst < SPEED_UP_PART:
         return min(FULL_PERCENT, percent + STEP_PERCENT)
     return percent
