--- a/hingepitch/control/consensus.py
+++ b/hingepitch/control/consensus.py
@@ -2,8 +2,8 @@
 hingepitch.control.consensus
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-The consensus core: Raft with pre-vote, leader's quorum check, learners
-and confirmed reads. It does no I/O and reads no clock. After D.
+The consensus core: Raft with pre-vote, the leader's quorum check, learners
+and linearizable reads. It does no I/O and reads no clock. Follows D.
 Ongaro, Consensus: Bridging Theory and Practice, 2014.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
@@ -43,36 +43,38 @@
     SendSnapshot,
     SnapshotLost,
     Tick,
-    Transfer,
+    TransferLeadership,
 )
 
 __all__ = ["Consensus"]
 
-#: Ticks without a leader before an election; drawn anew each time.
+#: Bounds of the election timeout, in ticks; each timeout is drawn at random.
 ELECTION_TICKS = (6, 12)
 
-#: The same for a replica that has heard no leader since its start: after the
-#: loss of all replicas nobody leads, and each tick of waiting is a tick without
-#: service. A pre-vote keeps it from disturbing a group that has a leader.
+#: The same for a replica that has heard no leader since its start: after all
+#: replicas restarted there is no leader, and each tick of waiting prolongs the
+#: outage. The pre-vote keeps it from disturbing a group that has a leader.
 FIRST_ELECTION_TICKS = (2, 5)
 
-#: Ticks between the rounds of a leader.
+#: Ticks between two heartbeat rounds of a leader.
 HEARTBEAT_TICKS = 2
 
-#: Election time-outs without a leader after which a replica that may not serve
-#: stands as well: those that may have had their turn, and lack what it has.
+#: Election timeouts without a leader after which a replica that may not serve
+#: stands for election too. By then the replicas that may serve have tried and
+#: failed, because they lack entries that it has.
 CARETAKER_ELECTIONS = 3
 
-#: Ticks between two hand-overs of a caretaker; an election takes fewer.
-HAND_OVER_TICKS = 4
+#: Ticks between two leadership transfers of a caretaker leader; an election
+#: takes fewer.
+TRANSFER_TICKS = 4
 
-#: Ticks after which a snapshot that was not acknowledged is sent again.
+#: Ticks after which an unacknowledged snapshot is sent again.
 SNAPSHOT_RETRY_TICKS = 50
 
-#: Ticks for the answer to a probe. Source: two rounds of the leader.
+#: Ticks to wait for the answer to a probe: two heartbeat rounds of the leader.
 PROBE_TICKS = 4
 
-#: Entries in one message, and their bytes together.
+#: Limits of one message: number of entries and total bytes of their payloads.
 MAX_ENTRIES = 512
 MAX_ENTRY_BYTES = 1_000_000
 
@@ -84,19 +86,23 @@
 
 @dataclass(slots=True)
 class Progress:
-    """What a leader knows of one follower.
+    """Replication state of one follower, as the leader knows it.
 
+    `active`
+        Whether the follower has answered since the last quorum check.
+    `sequence`
+        The latest round that the follower has answered.
     `snapshot_ticks`
-        Ticks in which no snapshot is sent again: one is on its way.
+        Ticks left in which no further snapshot is sent, as one is in transit.
     `is_snapshot_lost`
-        The last one surely did not arrive: another is sent once the follower
-        answers a round.
+        The last snapshot is known not to have arrived. Another one is sent
+        once the follower answers a round.
     `probe_index`
-        After a refusal, the lowest index tried since; no entries are sent
-        until one is accepted. None: the follower's log is known to match.
+        After a rejection, the lowest index tried since; no entries are sent
+        until a probe is accepted. None: the follower's log is known to match.
     `probe_ticks`
-        Ticks in which only a refusal below `probe_index` counts: each message
-        that was on its way is refused too.
+        Ticks left in which only a rejection below `probe_index` counts, as
+        the follower also rejects every message that was already in transit.
     """
 
     next_index: int
@@ -110,31 +116,36 @@
 
 
 class Consensus:
-    """One replica's part of the group.
+    """The Raft state machine of one replica.
 
     `recovered`
-        What the data folder holds.
+        The `Recovered` contents of the data folder.
     `seed`
-        Seed of the election timeouts.
+        Seed of the random election timeouts.
 
-    `step(event)` returns the actions to take, in order. Everything that an
-    action makes durable must be so before a later `Send` or `Commit` is
-    carried out, but for the entries of a leader (`Append.is_ahead`): it sends
-    them while its own disk still writes, and does not count itself among
-    those that have them before `Durable` says so. Once a replica no longer
-    leads, all that was written ahead must be durable before it sends.
+    `step(event)` returns the actions to execute, in order. What an action
+    stores must be durable before a later `Send` or `Commit` is executed. The
+    exception is a leader's own entries (`Append.is_ahead`): the leader sends
+    them while its disk is still writing, and counts itself towards their
+    quorum only after `Durable`. Once a replica no longer leads, all entries
+    written this way must be durable before it sends a message.
 
     `may_lead`
-        False for a replica that stores and votes, but cannot apply the log. As
-        the leader it is a caretaker: it replicates what it has, takes nothing
-        new, and hands over to one that has it all.
+        False for a replica that stores entries and votes, but cannot apply the
+        log. If elected it is a caretaker leader: it replicates its log, accepts
+        no requests, and transfers the leadership to a voter that has the
+        complete log.
     `missed_elections`
-        Election time-outs in a row in which a replica that may not serve heard
-        of no leader.
-    `last_heir`
-        The follower that a caretaker has asked last to stand.
+        Consecutive election timeouts in which a replica that may not serve
+        heard no leader.
+    `last_transfer_target`
+        The follower that a caretaker leader last asked to start an election.
     `durable_index`
-        Up to which entry this replica's own disk has the log, while it leads.
+        While leading, index of the last entry that is durable on this
+        replica's own disk.
+    `elapsed_ticks`
+        Ticks since the election timer was last reset; on a leader, since the
+        last quorum check.
     """
 
     def __init__(self, recovered, seed):
@@ -150,10 +161,10 @@
         self.role = FOLLOWER
         self.may_lead = True
         self.missed_elections = 0
-        self.last_heir = ""
+        self.last_transfer_target = ""
         self.membership = MemberHistory(recovered.snapshot_index, recovered.members)
         for entry in recovered.entries:
-            self.note_members(entry)
+            self.apply_member_entry(entry)
         self.leader = ""
         self.has_heard_leader = False
         self.votes = {}
@@ -162,61 +173,59 @@
         self.reads = []
         self.transferring = False
         self.actions = []
-        self.quiet_ticks = 0
+        self.elapsed_ticks = 0
         self.election_ticks = self.draw_election_ticks()
 
-    # What is asked from outside.
-
     def step(self, event):
-        """Take one event; return the list of actions."""
+        """Handle one event; return the list of actions to execute."""
         self.actions = []
         self.handle(event)
         return self.actions
 
     @property
     def members(self):
-        """The members in force, by the last entry that changed them."""
+        """The current members, as the last membership entry lists them."""
         return self.membership.members
 
     @property
     def voters(self):
-        """The identities that vote."""
+        """The identities of the voters."""
         return self.membership.voters
 
     def compact(self, index):
-        """Forget the log up to `index`, which a snapshot covers."""
+        """Discard the log up to `index`, which a snapshot covers."""
         self.log.compact(min(index, self.commit_index))
         self.membership.compact(index)
 
     def members_at(self, index):
-        """Return the members in force at `index`."""
+        """Return the members as of the entry at `index`."""
         return self.membership.at(index)
 
     @property
     def serves(self):
-        """Whether this replica leads and takes commands and reads."""
+        """Whether this replica leads and accepts commands and reads."""
         return self.role == LEADER and self.may_lead
 
     # Events.
 
     @singledispatchmethod
     def handle(self, event):
-        """Take one event."""
-        raise TypeError(f"not an event: {event!r}")
+        """Handle one event; the implementation depends on its type."""
+        raise TypeError(f"unsupported event: {event!r}")
 
     @handle.register
     def _(self, event: Tick):
-        self.quiet_ticks += 1
+        self.elapsed_ticks += 1
         if self.role == LEADER:
             self.tick_leader()
-        elif self.quiet_ticks >= self.election_ticks:
+        elif self.elapsed_ticks >= self.election_ticks:
             self.start_pre_vote()
 
     @handle.register
     def _(self, event: Propose):
         if not self.serves or self.transferring:
             for token in event.tokens:
-                self.do(Refuse(token, "not_leader"))
+                self.emit(Refuse(token, "not_leader"))
             return
         first = self.log.last_index + 1
         entries = tuple(
@@ -224,28 +233,28 @@
             for offset, payload in enumerate(event.payloads)
         )
         for entry, token in zip(entries, event.tokens, strict=True):
-            self.do(Proposed(token, entry.index, entry.term))
+            self.emit(Proposed(token, entry.index, entry.term))
         self.append_as_leader(entries)
 
     @handle.register
     def _(self, event: ProposeMembers):
         if not self.serves or self.transferring:
-            self.do(Refuse(event.token, "not_leader"))
+            self.emit(Refuse(event.token, "not_leader"))
             return
-        code = self.members_fault(event.members)
+        code = self.member_change_error(event.members)
         if code:
-            self.do(Refuse(event.token, code))
+            self.emit(Refuse(event.token, code))
             return
         payload = encode_members(event.members)
         index = self.log.last_index + 1
-        self.do(Proposed(event.token, index, self.term))
+        self.emit(Proposed(event.token, index, self.term))
         entry = Entry(index, self.term, EntryKind.MEMBERS, payload)
         self.append_as_leader((entry,))
 
     @handle.register
     def _(self, event: ReadRequest):
         if not self.serves or not self.has_committed_in_term():
-            self.do(Refuse(event.token, "not_leader"))
+            self.emit(Refuse(event.token, "not_leader"))
             return
         self.sequence += 1
         self.reads.append((self.sequence, event.token, self.commit_index))
@@ -276,7 +285,7 @@
             self.become_follower(self.term, "")
 
     @handle.register
-    def _(self, event: Transfer):
+    def _(self, event: TransferLeadership):
         if self.role != LEADER:
             return
         candidates = [
@@ -295,7 +304,7 @@
         if message.receiver != self.identity:
             return
         if message.term > self.term and not self.is_pre_vote(message):
-            if message.kind is MessageKind.VOTE and self.hears_leader(message):
+            if message.kind is MessageKind.VOTE and self.must_ignore_vote(message):
                 return
             leads = message.kind in (MessageKind.APPEND, MessageKind.SNAPSHOT)
             self.become_follower(message.term, message.sender if leads else "")
@@ -304,34 +313,35 @@
     # Elections.
 
     def draw_election_ticks(self):
-        """Return a new election timeout, in ticks."""
+        """Return a new random election timeout, in ticks."""
         bounds = ELECTION_TICKS if self.has_heard_leader else FIRST_ELECTION_TICKS
         return self.random.randint(*bounds)
 
     def is_pre_vote(self, message):
-        """Whether the term of `message` is only a wish."""
+        """Whether the term of `message` is only proposed, not in force."""
         if message.kind is MessageKind.PRE_VOTE:
             return True
         return message.kind is MessageKind.PRE_VOTE_ANSWER and message.granted
 
-    def hears_leader(self, message):
-        """Whether a vote must be ignored because there is a leader.
+    def must_ignore_vote(self, message):
+        """Whether a vote request must be ignored because there is a leader.
 
-        A vote after CAMPAIGN_NOW is marked as granted by the old leader.
+        In a request that follows CAMPAIGN_NOW, `granted` is set: the old leader
+        has consented to the election.
         """
-        alive = self.quiet_ticks < ELECTION_TICKS[0]
+        alive = self.elapsed_ticks < ELECTION_TICKS[0]
         return bool(self.leader) and alive and not message.granted
 
     def start_pre_vote(self):
-        """Ask whether an election could be won, without a new term."""
-        self.quiet_ticks = 0
+        """Ask the voters whether they would vote, without starting a new term."""
+        self.elapsed_ticks = 0
         self.election_ticks = self.draw_election_ticks()
         if self.identity not in self.voters:
             return
         if not self.may_lead:
             self.missed_elections += 1
         if not self.may_lead and self.missed_elections < CARETAKER_ELECTIONS:
-            # Its vote is free for another one from now on.
+            # Forget the leader, so that other candidates can get this vote.
             self.set_role(FOLLOWER, "")
             return
         self.set_role(PRE_CANDIDATE, "")
@@ -343,10 +353,14 @@
             self.send_vote(MessageKind.PRE_VOTE, receiver, self.term + 1)
 
     def start_election(self, transferred=False):
-        """Ask for votes in a new term."""
+        """Start a new term and request votes in it.
+
+        `transferred`
+            Whether the leader asked for this election.
+        """
         self.term += 1
         self.voted_for = self.identity
-        self.do(SaveVote(self.term, self.voted_for))
+        self.emit(SaveVote(self.term, self.voted_for))
         self.set_role(CANDIDATE, "")
         self.votes = {self.identity: True}
         if self.has_votes():
@@ -356,7 +370,7 @@
             self.send_vote(MessageKind.VOTE, receiver, self.term, transferred)
 
     def send_vote(self, kind, receiver, term, transferred=False):
-        """Ask `receiver` for its vote, or whether it would give it."""
+        """Send a vote or pre-vote request to `receiver`."""
         self.send(
             kind,
             receiver,
@@ -367,15 +381,15 @@
         )
 
     def is_up_to_date(self, message):
-        """Whether the sender's log is no older than this one."""
+        """Whether the sender's log is at least as up to date as this one."""
         theirs = (message.log_term, message.index)
         return theirs >= (self.log.last_term, self.log.last_index)
 
     def on_pre_vote(self, message):
-        """Say whether a vote would be given."""
-        leaderless = not self.hears_leader(message) and self.role != LEADER
+        """Answer whether this replica would grant its vote."""
+        is_leaderless = not self.must_ignore_vote(message) and self.role != LEADER
         granted = (
-            message.term > self.term and leaderless and self.is_up_to_date(message)
+            message.term > self.term and is_leaderless and self.is_up_to_date(message)
         )
         term = message.term if granted else self.term
         self.send(
@@ -383,7 +397,7 @@
         )
 
     def on_pre_vote_answer(self, message):
-        """Count an answer to a pre-vote."""
+        """Count an answer to a pre-vote request."""
         if self.role != PRE_CANDIDATE or message.term != self.term + 1:
             return
         self.votes[message.sender] = message.granted
@@ -391,17 +405,19 @@
             self.start_election()
 
     def on_vote(self, message):
-        """Give or refuse the vote of this term."""
-        free = self.voted_for in ("", message.sender)
-        granted = message.term == self.term and free and self.is_up_to_date(message)
+        """Grant or deny the vote of this term."""
+        has_free_vote = self.voted_for in ("", message.sender)
+        granted = (
+            message.term == self.term and has_free_vote and self.is_up_to_date(message)
+        )
         if granted:
             self.voted_for = message.sender
-            self.quiet_ticks = 0
-            self.do(SaveVote(self.term, self.voted_for))
+            self.elapsed_ticks = 0
+            self.emit(SaveVote(self.term, self.voted_for))
         self.send(MessageKind.VOTE_ANSWER, message.sender, granted=granted)
 
     def on_vote_answer(self, message):
-        """Count a vote."""
+        """Count an answer to a vote request."""
         if self.role != CANDIDATE or message.term != self.term:
             return
         self.votes[message.sender] = message.granted
@@ -409,24 +425,24 @@
             self.become_leader()
 
     def on_campaign_now(self, message):
-        """Start an election at once: the leader hands over."""
-        is_free = self.may_lead and self.identity in self.voters
-        if message.term == self.term and is_free:
+        """Start an election at once, as the leader transfers its leadership."""
+        can_campaign = self.may_lead and self.identity in self.voters
+        if message.term == self.term and can_campaign:
             self.start_election(transferred=True)
 
     def has_votes(self):
-        """Whether a majority of the voters said yes."""
+        """Whether a majority of the voters granted their vote."""
         return self.is_quorum(name for name, granted in self.votes.items() if granted)
 
     def is_quorum(self, identities):
-        """Whether `identities` hold a majority of the voters."""
+        """Whether `identities` include a majority of the voters."""
         voters = set(self.voters)
         return len(voters.intersection(identities)) * 2 > len(voters)
 
     # Roles.
 
     def set_role(self, role, leader):
-        """Take a role; tell the driver if something changed."""
+        """Set the role and the known leader; report a change to the driver."""
         self.has_heard_leader = self.has_heard_leader or bool(leader)
         if leader:
             self.missed_elections = 0
@@ -434,76 +450,90 @@
         self.role = role
         self.leader = leader
         if changed:
-            self.do(RoleChanged(role, leader, self.term))
+            self.emit(RoleChanged(role, leader, self.term))
 
     def become_follower(self, term, leader):
-        """Follow in `term`."""
+        """Become a follower in `term`; `leader` is empty if unknown."""
         if term > self.term:
             self.term = term
             self.voted_for = ""
-            self.do(SaveVote(term, ""))
+            self.emit(SaveVote(term, ""))
         self.refuse_reads()
         self.transferring = False
         self.set_role(FOLLOWER, leader)
-        self.quiet_ticks = 0
+        self.elapsed_ticks = 0
         self.election_ticks = self.draw_election_ticks()
 
     def become_leader(self):
-        """Lead: commit an empty entry of this term first."""
-        following = self.log.last_index + 1
-        # The vote of this term was written after all that came before.
+        """Take the leadership and append an empty entry of this term.
+
+        A leader can commit entries of earlier terms only through one of its own.
+        """
+        first_index = self.log.last_index + 1
+        # Everything before is durable: the vote of this term was written after it.
         self.durable_index = self.log.last_index
         self.progress_by_identity = {
-            member.identity: Progress(following)
+            member.identity: Progress(first_index)
             for member in self.members
             if member.identity != self.identity
         }
-        self.quiet_ticks = 0
+        self.elapsed_ticks = 0
         self.transferring = False
         self.set_role(LEADER, self.identity)
-        entry = Entry(following, self.term, EntryKind.NOTHING, b"")
+        entry = Entry(first_index, self.term, EntryKind.NOTHING, b"")
         self.append_as_leader((entry,))
 
     def refuse_reads(self):
-        """Refuse the reads that wait for a round."""
+        """Refuse the reads that wait for a quorum to confirm their round."""
         for _, token, _ in self.reads:
-            self.do(Refuse(token, "not_leader"))
+            self.emit(Refuse(token, "not_leader"))
         self.reads = []
 
-    # The leader.
+    # Leader.
 
     def tick_leader(self):
-        """Send a round when due; step down when a quorum is silent."""
+        """Send a round when due; step down when no quorum responds."""
         for progress in self.progress_by_identity.values():
             progress.snapshot_ticks = max(0, progress.snapshot_ticks - 1)
             progress.probe_ticks = max(0, progress.probe_ticks - 1)
-        if self.quiet_ticks % HEARTBEAT_TICKS == 0:
+        if self.elapsed_ticks % HEARTBEAT_TICKS == 0:
             self.broadcast()
-        if not self.may_lead and self.quiet_ticks % HAND_OVER_TICKS == 0:
-            self.hand_over()
-        if self.quiet_ticks >= ELECTION_TICKS[0]:
+        if not self.may_lead and self.elapsed_ticks % TRANSFER_TICKS == 0:
+            self.transfer_leadership()
+        if self.elapsed_ticks >= ELECTION_TICKS[0]:
             self.check_quorum()
 
-    def hand_over(self):
-        """Have the next follower stand that has all; one that may not lead waits."""
-        heirs = sorted(
+    def transfer_leadership(self):
+        """Ask the next voter that has the complete log to start an election.
+
+        The voters are asked in turn, because one that may not lead ignores the
+        request.
+        """
+        complete_voters = sorted(
             identity
             for identity, progress in self.progress_by_identity.items()
             if identity in self.voters and progress.match_index == self.log.last_index
         )
-        if heirs:
-            later = (identity for identity in heirs if identity > self.last_heir)
-            self.last_heir = next(later, heirs[0])
-            self.send(MessageKind.CAMPAIGN_NOW, self.last_heir)
+        if complete_voters:
+            later = (
+                identity
+                for identity in complete_voters
+                if identity > self.last_transfer_target
+            )
+            self.last_transfer_target = next(later, complete_voters[0])
+            self.send(MessageKind.CAMPAIGN_NOW, self.last_transfer_target)
 
     def check_quorum(self):
-        """Step down unless a quorum has answered since the last check."""
+        """Step down unless a quorum has answered since the last check.
+
+        Also ends a leadership transfer that has not succeeded by then.
+        """
         active = [
             identity
             for identity, progress in self.progress_by_identity.items()
             if progress.active
         ]
-        self.quiet_ticks = 0
+        self.elapsed_ticks = 0
         if not self.is_quorum([self.identity, *active]):
             self.become_follower(self.term, "")
             return
@@ -512,24 +542,27 @@
             progress.active = False
 
     def has_committed_in_term(self):
-        """Whether the leader knows every committed entry."""
+        """Whether an entry of this term is committed.
+
+        Only then does the leader know that `commit_index` is up to date.
+        """
         return self.log.term_at(self.commit_index) == self.term
 
     def append_as_leader(self, entries):
-        """Add entries of this leader and send them on."""
+        """Append entries of this leader and send them to the followers."""
         self.append(entries, is_ahead=True)
         self.broadcast()
 
     def append(self, entries, is_ahead=False):
-        """Add entries to the log, in memory and on disk."""
-        self.membership.cut(entries[0].index)
+        """Append entries to the log, in memory and on disk."""
+        self.membership.truncate(entries[0].index)
         self.log.append(entries)
         for entry in entries:
-            self.note_members(entry)
-        self.do(Append(tuple(entries), is_ahead))
+            self.apply_member_entry(entry)
+        self.emit(Append(tuple(entries), is_ahead))
 
-    def note_members(self, entry):
-        """Take over the members that `entry` declares, if it does."""
+    def apply_member_entry(self, entry):
+        """Adopt the members that `entry` lists, if it is a membership entry."""
         if entry.kind is not EntryKind.MEMBERS:
             return
         members = decode_members(entry.payload)
@@ -538,16 +571,16 @@
             self.track_members(members)
 
     def track_members(self, members):
-        """Start to follow new members, and forget the removed ones."""
+        """Start tracking new members and stop tracking removed ones."""
         identities = {member.identity for member in members} - {self.identity}
         for identity in identities - self.progress_by_identity.keys():
             self.progress_by_identity[identity] = Progress(self.log.last_index + 1)
         for identity in self.progress_by_identity.keys() - identities:
             del self.progress_by_identity[identity]
 
-    def members_fault(self, members):
-        """Return why the members may not change so, or an empty string."""
-        if self.membership.changed_at > self.commit_index:
+    def member_change_error(self, members):
+        """Return the error code that forbids a change to `members`, or ""."""
+        if self.membership.changed_index > self.commit_index:
             return "queue_full"
         if not self.has_committed_in_term():
             return "not_leader"
@@ -561,17 +594,20 @@
         return ""
 
     def has_caught_up(self, identity):
-        """Whether a learner has every committed entry."""
+        """Whether the member `identity` has every committed entry."""
         progress = self.progress_by_identity.get(identity)
         return progress is not None and progress.match_index >= self.commit_index
 
     def broadcast(self):
-        """Send every other member what it lacks, or an empty round."""
+        """Send every other member the entries it lacks, or a heartbeat."""
         for identity in self.progress_by_identity:
             self.send_append(identity)
 
     def send_append(self, identity):
-        """Send one member what it lacks, by entries or a snapshot."""
+        """Send one member the entries it lacks, a heartbeat or a snapshot.
+
+        It needs a snapshot once the log no longer has the entries it lacks.
+        """
         progress = self.progress_by_identity[identity]
         before = progress.next_index - 1
         log_term = self.log.term_at(before)
@@ -585,7 +621,7 @@
         progress.next_index += len(entries)
 
     def limit_bytes(self, entries):
-        """Yield the first entries that fit a message, at least one."""
+        """Yield the first entries that fit one message, at least one."""
         total = 0
         for entry in entries:
             total += len(entry.payload)
@@ -594,21 +630,21 @@
             yield entry
 
     def send_snapshot(self, identity, progress):
-        """Ask the driver to send the snapshot, unless one is on its way.
+        """Ask the driver to send a snapshot, unless one is in transit.
 
-        Meanwhile the receiver gets empty rounds, which it refuses: it keeps
-        hearing its leader, and its answers keep the leader in office. Without
-        them a leader that needed the receiver for its quorum stepped down
-        after `ELECTION_TICKS`, and the next one sent the whole state again.
+        While one is, the receiver gets heartbeats, which it rejects: it keeps
+        hearing the leader, and its answers count in the quorum check. Without
+        them, a leader that needs the receiver for its quorum steps down after
+        `ELECTION_TICKS`, and the next leader sends the complete state again.
         """
         if progress.snapshot_ticks:
             self.send_round(identity, self.log.start_index, self.log.start_term)
             return
         progress.snapshot_ticks = SNAPSHOT_RETRY_TICKS
-        self.do(SendSnapshot(identity, self.term))
+        self.emit(SendSnapshot(identity, self.term))
 
     def send_round(self, identity, index, log_term, entries=()):
-        """Send one member the `entries` that follow `index`, or none."""
+        """Send one member the `entries` after `index`; none for a heartbeat."""
         self.send(
             MessageKind.APPEND,
             identity,
@@ -620,7 +656,7 @@
         )
 
     def on_append_answer(self, message):
-        """Learn what a follower has, and send it the rest."""
+        """Record which entries a follower has, and send it the rest."""
         progress = self.progress_by_identity.get(message.sender)
         if self.role != LEADER or message.term != self.term or progress is None:
             return
@@ -633,7 +669,7 @@
             progress.probe_index = None
             self.advance_commit()
         elif progress.is_snapshot_lost:
-            # It answers again, so that the whole state may reach it now.
+            # The follower is reachable again, so another snapshot can arrive.
             progress.is_snapshot_lost = False
             progress.snapshot_ticks = 0
         elif progress.snapshot_ticks:
@@ -646,7 +682,11 @@
         self.release_reads()
 
     def probe_lower(self, progress, message):
-        """Step back after a refusal; return whether it says anything new."""
+        """Set the probe index after a rejection; return whether to probe again.
+
+        A message that was in transit before the last probe is also rejected,
+        and tells nothing new.
+        """
         retry = min(message.index, self.log.last_index)
         known = progress.probe_index
         if known is not None and retry >= known and progress.probe_ticks:
@@ -657,7 +697,10 @@
         return True
 
     def advance_commit(self):
-        """Commit what a majority of the voters has of this term."""
+        """Commit the entries that a majority of the voters has.
+
+        The last of them must be of this term.
+        """
         matches = sorted(
             (
                 self.durable_index
@@ -670,18 +713,24 @@
         index = matches[len(matches) // 2]
         if index > self.commit_index and self.log.term_at(index) == self.term:
             self.commit_index = index
-            self.do(Commit(index))
-            self.retire_if_removed()
+            self.emit(Commit(index))
+            self.step_down_if_removed()
+
+    def step_down_if_removed(self):
+        """Step down once the removal of this replica is committed.
 
-    def retire_if_removed(self):
-        """Step down once the removal of this replica is committed."""
-        is_committed = self.membership.changed_at <= self.commit_index
+        A last broadcast tells the followers that it is.
+        """
+        is_committed = self.membership.changed_index <= self.commit_index
         if is_committed and self.identity not in self.voters:
             self.broadcast()
             self.become_follower(self.term, "")
 
     def release_reads(self):
-        """Answer the reads whose round a quorum has confirmed."""
+        """Answer the reads whose round a quorum has confirmed.
+
+        A confirmed round also confirms all earlier ones.
+        """
         ready = []
         for read in self.reads:
             confirmed = [
@@ -694,17 +743,17 @@
         if ready:
             last = ready[-1][0]
             for _, token, index in (read for read in self.reads if read[0] <= last):
-                self.do(ReadReady(token, index))
+                self.emit(ReadReady(token, index))
             self.reads = [read for read in self.reads if read[0] > last]
 
-    # The follower.
+    # Follower.
 
     def on_append(self, message):
-        """Take entries from the leader."""
+        """Accept or reject entries from the leader."""
         if message.term < self.term:
             self.answer_append(message, granted=False, index=self.log.last_index)
             return
-        self.hear_leader(message)
+        self.follow_sender(message)
         known = self.log.term_at(message.index)
         if message.index < self.log.start_index:
             self.answer_append(message, granted=True, index=self.commit_index)
@@ -712,39 +761,39 @@
         if known != message.log_term:
             self.answer_append(message, False, self.retry_index(message))
             return
-        self.take_entries(message.entries)
+        self.merge_entries(message.entries)
         last_new = message.index + len(message.entries)
         self.commit_up_to(min(message.commit, last_new))
         self.answer_append(message, granted=True, index=last_new)
 
     def retry_index(self, message):
-        """Return the index from which the leader should try again."""
+        """Return the index that the leader should try next after a rejection."""
         below = min(message.index - 1, self.log.last_index)
         return max(below, self.commit_index)
 
-    def take_entries(self, entries):
-        """Add the entries that are new or differ."""
+    def merge_entries(self, entries):
+        """Append the entries from the first that is new or has another term."""
         for position, entry in enumerate(entries):
             if self.log.term_at(entry.index) != entry.term:
                 if entry.index <= self.commit_index:
-                    raise AssertionError("a committed entry would be replaced")
+                    raise AssertionError("refusing to overwrite a committed entry")
                 self.append(entries[position:])
                 return
 
     def commit_up_to(self, index):
-        """Commit up to `index`, as the leader says."""
+        """Advance the commit index to `index`, as the leader reports it."""
         if index > self.commit_index:
             self.commit_index = index
-            self.do(Commit(index))
+            self.emit(Commit(index))
 
-    def hear_leader(self, message):
-        """Follow the sender, which leads this term."""
+    def follow_sender(self, message):
+        """Follow the sender of `message`, the leader of this term."""
         if self.role != FOLLOWER or self.leader != message.sender:
             self.become_follower(message.term, message.sender)
-        self.quiet_ticks = 0
+        self.elapsed_ticks = 0
 
     def answer_append(self, message, granted, index):
-        """Answer an APPEND or a SNAPSHOT."""
+        """Answer an APPEND or SNAPSHOT message."""
         self.send(
             MessageKind.APPEND_ANSWER,
             message.sender,
@@ -754,11 +803,11 @@
         )
 
     def on_snapshot(self, message):
-        """Take the whole state from the leader."""
+        """Install the snapshot of the leader, unless the log already covers it."""
         if message.term < self.term:
             self.answer_append(message, granted=False, index=self.log.last_index)
             return
-        self.hear_leader(message)
+        self.follow_sender(message)
         if self.log.term_at(message.index) == message.log_term:
             self.commit_up_to(message.index)
         elif message.index > self.commit_index:
@@ -766,23 +815,23 @@
             self.commit_index = message.index
             members = decode_members(message.entries[0].payload)
             self.membership = MemberHistory(message.index, members)
-            self.do(Install(message.index, message.log_term, members, message.snapshot))
+            self.emit(
+                Install(message.index, message.log_term, members, message.snapshot)
+            )
         self.answer_append(message, granted=True, index=self.commit_index)
 
-    # Small helpers.
-
     def other_voters(self):
-        """Return the voters but this one."""
+        """Return the identities of all voters except this replica."""
         return [identity for identity in self.voters if identity != self.identity]
 
-    def do(self, action):
-        """Add an action to the ones that `step` returns."""
+    def emit(self, action):
+        """Add an action to those that `step` returns."""
         self.actions.append(action)
 
     def send(self, kind, receiver, term=None, **fields):
-        """Send a message of this replica."""
+        """Emit a message from this replica; `term` defaults to the current one."""
         term = self.term if term is None else term
-        self.do(Send(Message(kind, self.identity, receiver, term, **fields)))
+        self.emit(Send(Message(kind, self.identity, receiver, term, **fields)))
 
 
 HANDLER_BY_KIND = {
--- a/hingepitch/control/membership.py
+++ b/hingepitch/control/membership.py
@@ -2,7 +2,7 @@
 hingepitch.control.membership
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Who belongs to the group, and since which entry of the log.
+The members of the group, by the log entries that set them.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -17,60 +17,67 @@
 
 
 def encode_members(members):
-    """Return the bytes of a tuple of `Member`."""
+    """Return a tuple of `Member` encoded as msgpack."""
     return msgspec.msgpack.encode(members)
 
 
 def decode_members(data):
-    """Return the tuple of `Member` of `data`; raise `storage_unknown`."""
+    """Return the tuple of `Member` in `data`.
+
+    Raises `HingepitchError` (`storage_unknown`) if it cannot be decoded.
+    """
     try:
         return msgspec.msgpack.decode(data, type=tuple[Member, ...])
     except (msgspec.MsgspecError, RecursionError) as error:
-        raise HingepitchError("storage_unknown", f"not members: {error}") from None
+        raise HingepitchError(
+            "storage_unknown", f"invalid member list: {error}"
+        ) from None
 
 
 class MemberHistory:
-    """The members as the entries of a log declared them.
+    """The sequence of member configurations in the log.
 
-    A declaration is in force as soon as it is in the log, committed or not; so
-    one that is cut off the log gives way to the one before.
+    A configuration is in force as soon as it is in the log, committed or not.
+    If its entry is truncated, the previous configuration is in force again.
 
     `index`, `members`
-        What a snapshot holds, and up to which entry.
+        Index of the snapshot that the log starts from, and its members.
     """
 
     def __init__(self, index, members):
-        self.declared = [(index, members)]
+        self.configurations = [(index, members)]
 
     @property
     def members(self):
-        """The members in force, by the last entry that changed them."""
-        return self.declared[-1][1]
+        """The members in the latest configuration."""
+        return self.configurations[-1][1]
 
     @property
-    def changed_at(self):
-        """Index of the entry that changed them last."""
-        return self.declared[-1][0]
+    def changed_index(self):
+        """Index of the entry with the latest configuration."""
+        return self.configurations[-1][0]
 
     @property
     def voters(self):
-        """The identities that vote."""
+        """The identities of the voters."""
         return [member.identity for member in self.members if member.voter]
 
     def at(self, index):
-        """Return the members in force at `index`."""
-        return next(members for at, members in reversed(self.declared) if at <= index)
+        """Return the members as of the entry at `index`."""
+        return next(
+            members for at, members in reversed(self.configurations) if at <= index
+        )
 
     def add(self, index, members):
-        """Take over what the entry at `index` declares."""
-        self.declared.append((index, members))
+        """Add the configuration of the entry at `index`."""
+        self.configurations.append((index, members))
 
-    def cut(self, first):
-        """Forget what the entries from `first` on declared."""
-        while self.changed_at >= first and len(self.declared) > 1:
-            self.declared.pop()
+    def truncate(self, first):
+        """Drop the configurations of the entries from `first` on."""
+        while self.changed_index >= first and len(self.configurations) > 1:
+            self.configurations.pop()
 
     def compact(self, index):
-        """Forget what came before the declaration in force at `index`."""
-        while len(self.declared) > 1 and self.declared[1][0] <= index:
-            del self.declared[0]
+        """Drop the configurations before the one in force at `index`."""
+        while len(self.configurations) > 1 and self.configurations[1][0] <= index:
+            del self.configurations[0]
--- a/hingepitch/control/message.py
+++ b/hingepitch/control/message.py
@@ -2,7 +2,7 @@
 hingepitch.control.message
 ~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Messages, events and actions of the consensus core.
+Messages between replicas, and the events and actions of the consensus core.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -36,12 +36,12 @@
     "SendSnapshot",
     "SnapshotLost",
     "Tick",
-    "Transfer",
+    "TransferLeadership",
 ]
 
 
 class EntryKind(enum.IntEnum):
-    """What an entry of the log carries."""
+    """What a log entry carries: a command, the members, or nothing."""
 
     COMMAND = 0
     MEMBERS = 1
@@ -49,7 +49,11 @@
 
 
 class MessageKind(enum.IntEnum):
-    """Kinds of messages between replicas."""
+    """Kinds of messages between replicas.
+
+    CAMPAIGN_NOW asks the receiver to start an election at once, to transfer
+    the leadership to it.
+    """
 
     PRE_VOTE = 1
     PRE_VOTE_ANSWER = 2
@@ -63,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """A record of the log."""
+    """One entry of the replicated log."""
 
     index: int
     term: int
@@ -73,12 +77,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A replica of the group.
+    """A replica that belongs to the group.
 
     `identity`
-        Written when its data folder was made; a new folder is a new one.
+        Generated with its data folder; a new folder has a new identity.
     `voter`
-        False for a learner, which neither votes nor counts.
+        False for a learner, which neither votes nor counts towards a quorum.
     """
 
     identity: str
@@ -93,10 +97,17 @@
     """One message between replicas; the fields in use depend on `kind`.
 
     `index`, `log_term`
-        APPEND: of the entry before `entries`. Votes: of the last entry.
-        APPEND_ANSWER: what the follower has, or where to try again.
+        APPEND: index and term of the entry before `entries`. Vote and pre-vote
+        requests: of the sender's last entry. SNAPSHOT: of the last entry that
+        the snapshot covers. APPEND_ANSWER: in `index`, the last entry that the
+        follower has, or after a rejection the index to try next.
+    `commit`
+        APPEND: the commit index of the leader.
+    `granted`
+        Answers: whether the request was accepted. Vote requests: whether the
+        leader asked the sender to campaign.
     `sequence`
-        APPEND and its answer: the round, for confirmed reads.
+        APPEND and its answer: number of the round, which confirms reads.
     """
 
     kind: MessageKind
@@ -114,7 +125,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Recovered:
-    """What a replica finds in its data folder when it starts."""
+    """Contents of the data folder when a replica starts."""
 
     identity: str
     term: int = 0
@@ -130,19 +141,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """A fixed piece of time has passed."""
+    """One tick, the core's unit of time, has passed."""
 
 
 @dataclass(frozen=True, slots=True)
 class Receive:
-    """A message has come."""
+    """A message from another replica has arrived."""
 
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """Commands for the log; `tokens` name them in the answers."""
+    """Request to append commands; `tokens` identify them in the answers."""
 
     payloads: list[bytes]
     tokens: list[object]
@@ -150,7 +161,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ProposeMembers:
-    """A change of the members, one voter at a time."""
+    """Request to replace the members; at most one voter may change."""
 
     members: tuple[Member, ...]
     token: object
@@ -158,14 +169,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadRequest:
-    """Wish for an index that a confirmed read may be answered at."""
+    """Request for the index at which a linearizable read may be answered."""
 
     token: object
 
 
 @dataclass(frozen=True, slots=True)
 class Durable:
-    """The entries up to `index`, the last one of `term`, are on the disk."""
+    """The entries up to `index`, the last of which has `term`, are durable."""
 
     index: int
     term: int
@@ -173,7 +184,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotLost:
-    """A snapshot sent to `receiver` in `term` surely did not arrive."""
+    """A snapshot sent to `receiver` in `term` is known not to have arrived."""
 
     receiver: str
     term: int
@@ -181,14 +192,14 @@
 
 @dataclass(frozen=True, slots=True)
 class MayLead:
-    """Whether this replica may lead: not while its state lacks an entry."""
+    """Whether this replica may lead; it may not while it cannot apply the log."""
 
     is_allowed: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Transfer:
-    """Hand the leadership to the voter that is the least behind."""
+class TransferLeadership:
+    """Request to transfer the leadership to the most up-to-date active voter."""
 
 
 # Actions.
@@ -204,11 +215,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Append:
-    """Make entries durable, replacing what stands from the first one on.
+    """Make entries durable, replacing the log from the first of them on.
 
     `is_ahead`
-        They are a leader's own: later actions need not wait for the disk, as
-        long as `Durable` tells the core when they are there.
+        The entries are a leader's own. Later actions need not wait for the
+        disk, provided that `Durable` tells the core when they are stored.
     """
 
     entries: tuple[Entry, ...]
@@ -217,7 +228,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Install:
-    """Replace the state by a snapshot, which has the members at its place."""
+    """Replace the state by a snapshot; `members` are those as of `index`."""
 
     index: int
     term: int
@@ -227,14 +238,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """Send a message, once everything before it is durable."""
+    """Send a message once all earlier actions are durable."""
 
     message: Message
 
 
 @dataclass(frozen=True, slots=True)
 class SendSnapshot:
-    """Send the last snapshot to a follower that is too far behind."""
+    """Send a snapshot to a follower whose missing entries left the log."""
 
     receiver: str
     term: int
@@ -242,14 +253,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Commit:
-    """Entries up to `index` are committed."""
+    """The entries up to `index` are committed and may be applied."""
 
     index: int
 
 
 @dataclass(frozen=True, slots=True)
 class Proposed:
-    """The command of `token` has the place `index` in the log."""
+    """The request of `token` was appended to the log as entry `index`."""
 
     token: object
     index: int
@@ -258,7 +269,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadReady:
-    """A read may be answered once `index` is applied."""
+    """The read of `token` may be answered once `index` is applied."""
 
     token: object
     index: int
@@ -266,7 +277,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """The request of `token` cannot be taken: a code of the table."""
+    """The request of `token` is refused with an error code."""
 
     token: object
     code: str
@@ -274,7 +285,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RoleChanged:
-    """This replica is now `role` in `term`; `leader` may be empty."""
+    """This replica has `role` in `term`; `leader` is empty if unknown."""
 
     role: str
     leader: str
--- a/hingepitch/control/replica.py
+++ b/hingepitch/control/replica.py
@@ -2,8 +2,8 @@
 hingepitch.control.replica
 ~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-The driver of one replica: feeds the consensus core, makes its actions
-durable and real, applies what is committed.
+The driver of one replica: feeds events to the consensus core, executes its
+actions, and applies the committed entries to the state.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -44,7 +44,7 @@
     SendSnapshot,
     SnapshotLost,
     Tick,
-    Transfer,
+    TransferLeadership,
 )
 from hingepitch.control.snapshot import Snapshot
 from hingepitch.control.writer import LogWriter
@@ -63,30 +63,31 @@
 PAUSE_AFTER_FAULT_SECONDS = 1.0
 READ_SECONDS = 2.0
 
-#: Why there is no state before the data folder is open.
-NOT_OPEN = "the data folder before it is open"
+#: Value of `Replica.unread` until the data folder is open.
+NOT_OPEN = "the data folder is not open yet"
 
-#: How long a start waits for the process that has its data folder, in seconds.
-#: Source: longer than a process has between SIGTERM and SIGKILL (6 s).
+#: How long a starting replica waits for another process to release the lock of
+#: its data folder, in seconds: longer than the 6 s from SIGTERM to SIGKILL.
 LOCKED_SECONDS = 10.0
 
-#: Commands gather for one batch while the leader's disk writes, but no longer
-#: than this, in seconds. Source: a sync takes 4 to 9 ms on the disks played.
+#: How long commands may be collected into one batch while the leader's disk is
+#: writing, in seconds. A sync takes 4 to 9 ms.
 BATCH_SECONDS = 0.01
 
-#: Entries applied between two snapshots, at least and at most, and kept in
-#: memory behind one. Source: a replica that starts applies about 7,000 entries
-#: a second, and the first order of a new leader waits for that.
+#: Minimum and maximum number of entries applied between two snapshots, and the
+#: number of entries before a snapshot that stay in memory. The maximum bounds
+#: the start: a replica replays about 7,000 entries a second, and a new leader
+#: issues no orders before it has done so.
 SNAPSHOT_EVERY = 1024
 SNAPSHOT_EVERY_AT_MOST = 2048
 KEEP_BEHIND_SNAPSHOT = 1024
 
 
 def is_snapshot_due(entries, log_bytes, snapshot_bytes):
-    """Whether to write a snapshot after `entries` of `log_bytes`.
+    """Whether to write a snapshot after `entries` entries of `log_bytes` bytes.
 
-    A large state is written less often: a busy replica of a large site wrote
-    all of its state every two seconds.
+    A large state is written less often; otherwise a busy replica of a large
+    site would write its complete state every two seconds.
 
     `snapshot_bytes`
         Size of the last snapshot.
@@ -96,8 +97,8 @@
     return log_bytes >= snapshot_bytes or entries >= SNAPSHOT_EVERY_AT_MOST
 
 
-def must_wait(action):
-    """Whether an action has to be durable before the next one is carried out."""
+def requires_sync(action):
+    """Whether an action must be durable before the next one is executed."""
     if isinstance(action, Append):
         return not action.is_ahead
     return isinstance(action, SaveVote | Install)
@@ -107,14 +108,15 @@
     """One replica of the control group.
 
     `storage`, `audit`, `links`, `roster`
-        The parts it drives.
+        The data folder, the audit trail, the links to the other replicas and
+        the leases of the entries.
     `address_of`
-        Function from an identity to its address, or None.
+        Function that returns the address of an identity, or None.
     `seed`
-        Seed of the election timeouts.
+        Seed of the random election timeouts.
     `unread`
-        The entry or the state that cannot be read, and why; empty if all can.
-        What comes after it is stored but not applied, so `state` is not used.
+        Which entry or snapshot cannot be read, and why; empty if all can be.
+        Later entries are stored but not applied, so `state` must not be used.
     """
 
     def __init__(self, storage, audit, links, roster, address_of, seed):
@@ -122,11 +124,11 @@
         self.writer = LogWriter(storage, self.put)
         self.audit = audit
         self.links = links
-        self.links.on_lost = self.note_lost
+        self.links.on_lost = self.on_message_lost
         self.roster = roster
         self.address_of = address_of
         self.seed = seed
-        # Belongs to no group, so it neither votes nor leads.
+        # Placeholder that belongs to no group, so it neither votes nor leads.
         self.core = Consensus(Recovered(identity=""), seed)
         self.state = State()
         self.applied_index = 0
@@ -147,7 +149,7 @@
     # Life cycle.
 
     def open(self):
-        """Recover from the data folder."""
+        """Open the data folder and recover from it."""
         recovered = self.storage.open()
         snapshot = self.storage.snapshot
         self.audit.open(snapshot.trail, snapshot.index)
@@ -155,14 +157,15 @@
         self.load_snapshot(self.storage.snapshot)
 
     def open_when_possible(self, stopping):
-        """Open the data folder as soon as it can be used.
+        """Open the data folder, retrying until that succeeds.
 
-        Whatever keeps it from that is no reason to end the program: its next
-        start would meet the same, and until then nobody could ask it why. But a
-        process that has the folder and stays is, for then somebody started two.
+        A failure does not end the program: the next start would fail in the
+        same way, and until then no operator could query the reason. The
+        exception is a folder that stays locked by another process, as the
+        replica was then started twice.
 
         `stopping`
-            Event after which nobody waits.
+            Event that ends the retries.
 
         Raises `HingepitchError` (`folder_locked`).
         """
@@ -181,16 +184,16 @@
                 self.note_storage_fault(f"{error!r} at {place_of(error)}")
             self.close()
             stopping.wait(PAUSE_AFTER_FAULT_SECONDS)
-            self.renew_files()
+            self.recreate_stores()
             self.writer.reset(self.storage)
 
-    def renew_files(self):
-        """Take the data folder as if it had never been opened."""
+    def recreate_stores(self):
+        """Replace the storage and the audit trail by new unopened objects."""
         self.storage = self.storage.anew()
         self.audit = self.audit.anew()
 
     def load_snapshot(self, snapshot):
-        """Take the state of `snapshot`; one that cannot be read stays stored."""
+        """Load the state of `snapshot`; an unreadable one stays on the disk."""
         self.unread = ""
         self.state = State()
         self.applied_index = snapshot.index
@@ -202,15 +205,16 @@
         except HingepitchError as error:
             self.note_unread(f"state at {snapshot.index}", error)
         except Exception as error:
-            # A fault of this version; the log is sound, and so is its vote.
+            # A fault in this version's code. The log and the vote are intact, so
+            # the replica can go on storing entries and voting.
             self.note_unread(f"state at {snapshot.index}", repr(error))
-        self.wake_followers()
+        self.wake_waiters()
 
     def run(self):
         """Handle events until killed.
 
-        After any failure the core may be ahead of the disk, so everything
-        starts anew from the disk, which has all that was acknowledged.
+        After any failure the core may be ahead of the disk, so the
+        replica recovers from the disk, which has all acknowledged entries.
         """
         while True:
             try:
@@ -225,7 +229,7 @@
                 gevent.sleep(PAUSE_AFTER_FAULT_SECONDS)
 
     def handle_forever(self):
-        """Handle events as they come."""
+        """Handle events as they arrive; raise the error of a failed write."""
         while True:
             self.arrived.wait(BATCH_SECONDS if self.admission.has_waiting else None)
             self.arrived.clear()
@@ -233,42 +237,42 @@
             self.handle_events()
 
     def write_ahead(self):
-        """Write the entries of a leader beside the loop until killed."""
+        """Write a leader's entries concurrently with the event loop, until killed."""
         while True:
             try:
                 self.writer.wait_and_write()
             except HingepitchError:
-                # The loop finds the fault, logs it, and starts anew.
+                # Wake the event loop, which logs the fault and reopens the folder.
                 self.arrived.set()
                 gevent.sleep(PAUSE_AFTER_FAULT_SECONDS)
 
     def tick(self):
-        """Give the core its ticks until killed."""
+        """Send ticks to the core until killed."""
         while True:
             gevent.sleep(TICK_SECONDS)
             self.put(Tick())
 
     def note_storage_fault(self, error):
-        """Log a fault of the data folder, and tell who waits."""
+        """Log a fault of the data folder, and fail all waiting requests."""
         log_event("storage_failed", error=str(error))
         self.storage_fault = str(error)
         self.fail_waiters("storage_failed")
-        self.refuse_waiting()
+        self.refuse_queued()
 
     def reopen(self):
-        """Start anew from the disk; raise if it cannot be written."""
+        """Recover from the disk; raise if it cannot be written."""
         self.fail_waiters("restarted")
         self.inbox.clear()
         with self.writer.lock:
             self.close()
-            self.renew_files()
+            self.recreate_stores()
             self.open()
             self.storage.write(self.storage.vote, [])
             self.writer.reset(self.storage)
         self.storage_fault = ""
 
     def close(self):
-        """Close the files; what cannot be flushed is cut at the next start."""
+        """Close the files; the next start truncates what could not be flushed."""
         for part in (self.audit, self.storage):
             try:
                 part.close()
@@ -280,16 +284,19 @@
         self.inbox.append(event)
         self.arrived.set()
 
-    # Requests of the other parts of this process.
+    # Interface for the other components of this process.
 
     @property
     def is_open(self):
-        """Whether the data folder was opened, so that this replica is somebody."""
+        """Whether the data folder was opened, so that the identity is known."""
         return bool(self.core.identity)
 
     @property
     def is_leader(self):
-        """Whether this replica leads, as far as it knows."""
+        """Whether this replica leads and serves, to its own knowledge.
+
+        Another one may lead by now; `confirm` checks that.
+        """
         return self.core.serves
 
     def leader_address(self):
@@ -300,7 +307,7 @@
         return address
 
     def propose(self, envelope):
-        """Put a command into the log; return its `Outcome`.
+        """Append a command to the log; return its `Outcome` once it is applied.
 
         Raises `HingepitchError`: `not_leader`, `queue_full`,
         `storage_failed`, or `lost_leadership` when the outcome is unknown.
@@ -316,16 +323,18 @@
         return self.wait_for(result, PROPOSE_SECONDS)
 
     def change_members(self, members):
-        """Change the members; return once that is committed."""
+        """Change the members; return once the change is committed."""
         result = AsyncResult()
         self.put(ProposeMembers(members, result))
         return self.wait_for(result, PROPOSE_SECONDS)
 
     def confirm(self):
-        """Return once this replica is known to lead, and has applied all.
+        """Confirm the leadership for a linearizable read; return its index.
 
-        What was accepted before the call is then in `state`. Raises
-        `HingepitchError` (`not_leader`, `storage_failed`).
+        Returns once a quorum has confirmed that this replica leads and the
+        index is applied, so `state` has every change acknowledged before the
+        call. Raises `HingepitchError`: `not_leader`, `storage_failed`, or
+        `lost_leadership` on timeout or while an entry cannot be read.
         """
         self.check_storage()
         if not self.is_open:
@@ -338,56 +347,58 @@
         return index
 
     def check_storage(self):
-        """Refuse at once while the data folder cannot be written."""
+        """Raise `storage_failed` while the data folder cannot be written."""
         if self.storage_fault:
             raise self.storage_error()
 
     def storage_error(self):
-        """Return the error for who asks while the data folder cannot be written."""
+        """Return the error for requests while the data folder cannot be written."""
         detail = self.storage_fault
         return HingepitchError("storage_failed", detail, retry_after_ms=1000)
 
     def check_read(self):
-        """Raise `lost_leadership` while the state lacks an entry.
+        """Raise `lost_leadership` while an entry or the state cannot be read.
 
-        Whoever asks may ask another replica then.
+        That code tells the caller to ask another replica.
         """
         if self.unread:
             raise HingepitchError("lost_leadership", self.unread, retry_after_ms=1000)
 
     def wait_for(self, result, seconds):
-        """Return the value of `result`; raise `lost_leadership` on time-out."""
+        """Return the value of `result`; raise `lost_leadership` on timeout."""
         try:
             return result.get(timeout=seconds)
         except gevent.Timeout:
-            raise HingepitchError("lost_leadership", "no quorum in time") from None
+            raise HingepitchError(
+                "lost_leadership", "no quorum before timeout"
+            ) from None
 
     def wait_applied(self, index, seconds):
-        """Return once `index` is applied; raise `lost_leadership`."""
+        """Return once `index` is applied; raise `lost_leadership` on timeout."""
         deadline = lease_seconds() + seconds
         self.check_read()
         while self.applied_index < index:
             if not self.wait_change(deadline - lease_seconds()):
-                raise HingepitchError("lost_leadership", "not applied in time")
+                raise HingepitchError("lost_leadership", "not applied before timeout")
             self.check_read()
 
     def wait_change(self, seconds):
-        """Wait for a change of the state; return whether there was one."""
+        """Wait for a change of the state; return False on timeout."""
         return seconds > 0 and self.changed.wait(seconds)
 
-    def wake_followers(self):
-        """Wake everyone who waits for a change."""
+    def wake_waiters(self):
+        """Wake all greenlets that wait for a change of the state."""
         self.changed.set()
         self.changed = Event()
 
     def transfer(self):
-        """Hand the leadership to another replica, for a planned stop."""
-        self.put(Transfer())
+        """Transfer the leadership to another replica, for a planned stop."""
+        self.put(TransferLeadership())
 
-    # The loop.
+    # Event loop.
 
     def handle_events(self):
-        """Step the core with everything that waits, then act once."""
+        """Step the core with all queued events, then execute all its actions."""
         actions = []
         while self.inbox:
             event = self.inbox.popleft()
@@ -401,14 +412,15 @@
         if self.reads_waiting:
             reads, self.reads_waiting = self.reads_waiting, []
             actions += self.core.step(ReadRequest(reads))
-        self.carry_out(actions)
+        self.execute_actions(actions)
         self.snapshot_if_due()
 
     def take_proposals(self):
-        """Return the commands that are proposed together now.
+        """Return the next batch of commands to propose; empty to wait for more.
 
-        While the disk writes, commands gather into one batch: each batch costs
-        a message to every other replica. A disk that is slow is not waited for.
+        While the disk is writing, commands are collected into one batch,
+        because each batch costs a message to every other replica. The wait is
+        at most `BATCH_SECONDS`, so a slow disk does not delay commands.
         """
         now = lease_seconds()
         if self.writer.is_behind and now - self.proposed_at < BATCH_SECONDS:
@@ -418,19 +430,19 @@
             self.proposed_at = now
         return waiting
 
-    def carry_out(self, actions):
-        """Make what must be durable durable, then do the rest in order."""
+    def execute_actions(self, actions):
+        """Make votes and entries durable, then execute the rest in order."""
         self.make_durable(actions)
         for action in actions:
-            self.act(action)
+            self.execute_action(action)
 
     def make_durable(self, actions):
         """Write the votes and entries of `actions` in one sync.
 
-        What a leader appends, and nothing else, is written while the other
-        actions are carried out.
+        If there are only a leader's own entries to write, they are written
+        concurrently with the other actions.
         """
-        if self.core.role == "leader" and not any(map(must_wait, actions)):
+        if self.core.role == "leader" and not any(map(requires_sync, actions)):
             for action in actions:
                 if isinstance(action, Append):
                     self.writer.write_later(action.entries)
@@ -438,7 +450,7 @@
         self.write_in_order(actions)
 
     def write_in_order(self, actions):
-        """Write the votes and entries of `actions`, after all before them."""
+        """Write the votes and entries of `actions`, after all earlier ones."""
         vote = None
         entries = []
         for action in actions:
@@ -456,8 +468,8 @@
                 last = action.entries[-1]
                 self.put(Durable(last.index, last.term))
 
-    def act(self, action):
-        """Carry out one action that needs no disk."""
+    def execute_action(self, action):
+        """Execute one action, unless it is one that `make_durable` handles."""
         if isinstance(action, Send):
             self.send(action.message)
         elif isinstance(action, SendSnapshot):
@@ -465,14 +477,14 @@
         elif isinstance(action, Commit):
             self.apply_up_to(action.index)
         elif isinstance(action, Proposed):
-            self.expect(action)
+            self.register_waiter(action)
         elif isinstance(action, ReadReady):
             for result in action.token:
                 result.set(action.index)
         elif isinstance(action, Refuse):
             self.refuse(action)
         elif isinstance(action, RoleChanged):
-            self.note_role(action)
+            self.on_role_changed(action)
 
     def send(self, message):
         """Send a message to another replica, if its address is known."""
@@ -480,27 +492,27 @@
         if address is not None:
             self.links.send(address, message)
 
-    def note_lost(self, message):
-        """Have a snapshot that did not arrive sent again soon.
+    def on_message_lost(self, message):
+        """Tell the core that a snapshot did not arrive, so it is sent again.
 
-        It is not waited for as long as for one that may be on its way: a group
-        in which its receiver is needed rests until then (5 s before).
+        Otherwise the core would wait 5 s for its acknowledgement, and a group
+        that needs the receiver for its quorum would be stalled until then.
         """
         if message.kind is MessageKind.SNAPSHOT:
             self.put(SnapshotLost(message.receiver, message.term))
 
-    def expect(self, action):
-        """Remember who waits for the entry at an index."""
+    def register_waiter(self, action):
+        """Record which request waits for the entry at an index."""
         self.waiter_by_index[action.index] = (action.term, action.token)
 
     def refuse(self, action):
-        """Tell the waiters of a refused request."""
+        """Raise the error of a refused request in its waiters."""
         tokens = action.token if isinstance(action.token, list) else [action.token]
         for result in tokens:
             result.set_exception(HingepitchError(action.code, retry_after_ms=200))
 
-    def note_role(self, action):
-        """Log a change of role, and take over the leases when leading."""
+    def on_role_changed(self, action):
+        """Log a change of role; a new leader takes over the leases."""
         log_event(
             "role_changed", role=action.role, leader=action.leader, term=action.term
         )
@@ -508,15 +520,15 @@
             self.roster.take_over(lease_seconds())
 
     def fail_waiters(self, code):
-        """Tell everyone who waits for an entry that it may be lost."""
+        """Raise `lost_leadership` in all waiters for entries; outcome unknown."""
         for _, result in self.waiter_by_index.values():
             result.set_exception(HingepitchError("lost_leadership", code))
         self.waiter_by_index.clear()
 
-    def refuse_waiting(self):
-        """Refuse the commands that are not in the log, and the reads.
+    def refuse_queued(self):
+        """Refuse the reads and the commands that are not in the log yet.
 
-        They would wait until their time is up (4 s), without a chance.
+        They could not succeed, and would wait for their timeout (4 s).
         """
         waiting = self.admission.take(self.admission.size)
         results = [one.result for one in waiting]
@@ -524,12 +536,12 @@
         for result in results + reads:
             result.set_exception(self.storage_error())
 
-    # Applying.
+    # Applying entries.
 
     def apply_up_to(self, index):
-        """Apply the committed entries up to `index`, or to one that is unread.
+        """Apply the committed entries up to `index`, or to an unreadable one.
 
-        A state that was installed in the same step may already be further.
+        A snapshot installed in the same step may already cover more.
         """
         count = max(0, index - self.applied_index)
         for entry in self.core.log.after(self.applied_index, count):
@@ -539,14 +551,17 @@
                 self.apply_entry(entry)
             except HingepitchError as error:
                 self.note_unread(f"entry {entry.index}", error)
-        self.wake_followers()
+        self.wake_waiters()
 
     def note_unread(self, what, error):
-        """Apply nothing more, and lead no more, until a version does that can.
+        """Stop applying entries and leading, until a version that can read them.
+
+        Skipping the entry would make this state differ from the others'
+        permanently. Exiting would recur at each start, and cost the group a
+        vote that it may need.
 
-        An entry that was passed over would make this state differ from that of
-        the others for good. Ended by it, the program would end at each start,
-        and take with it a vote that the others need.
+        `what`
+            The entry or the state that cannot be read.
         """
         self.unread = f"{what}: {error}"
         log_event("entry_unread", what=what, error=error)
@@ -554,7 +569,7 @@
         self.fail_waiters(self.unread)
 
     def apply_entry(self, entry):
-        """Apply one entry and tell who waits for it."""
+        """Apply one entry and answer the request that waits for it."""
         outcome = None
         if entry.kind is EntryKind.COMMAND:
             outcome = self.apply_command(entry)
@@ -570,9 +585,10 @@
             result.set_exception(HingepitchError("lost_leadership", "overwritten"))
 
     def apply_command(self, entry):
-        """Apply a command; add it to the audit trail if an operator's.
+        """Apply a command; record it in the audit trail if an operator sent it.
 
-        Raises `bad_request` if it cannot be read, `internal` if its rule fails.
+        A command that was sent again is not recorded twice. Raises
+        `bad_request` if it cannot be decoded, `internal` if its rule fails.
         """
         envelope = decode_envelope(entry.payload)
         kind, name = object_of(envelope.command)
@@ -582,8 +598,8 @@
         try:
             outcome = apply(self.state, envelope, entry.index)
         except Exception as error:
-            # All replicas of this version fail at it, whatever it was.
-            raise HingepitchError("internal", f"a rule failed: {error!r}") from error
+            # All replicas of this version fail in the same way.
+            raise HingepitchError("internal", f"applying failed: {error!r}") from error
         self.commands_applied += 1
         if is_audited:
             after = self.state.get(kind, name) if kind else None
@@ -607,7 +623,7 @@
     # Snapshots.
 
     def snapshot_if_due(self):
-        """Write a snapshot when enough entries were applied."""
+        """Write a snapshot and compact the log if enough entries were applied."""
         if self.unread:
             return
         entries = self.applied_index - self.storage.snapshot.index
@@ -624,7 +640,7 @@
         log_event("snapshot_written", index=self.applied_index)
 
     def make_snapshot(self):
-        """Return the present state as a `Snapshot`."""
+        """Return the current state as a `Snapshot`."""
         return Snapshot(
             index=self.applied_index,
             term=self.applied_term,
@@ -633,7 +649,7 @@
         )
 
     def send_snapshot(self, action):
-        """Send the present state to a follower that is too far behind."""
+        """Send the current state to a follower that needs a snapshot."""
         if self.unread:
             return
         snapshot = self.make_snapshot()
@@ -657,7 +673,7 @@
         )
 
     def install(self, action):
-        """Replace the state by the snapshot of the leader."""
+        """Store and load a snapshot that the leader sent."""
         snapshot = Snapshot(action.index, action.term, action.members, action.snapshot)
         self.audit.skip_to(action.index)
         snapshot.trail = self.audit.sync()
@@ -666,6 +682,6 @@
         log_event("snapshot_installed", index=action.index)
 
     def receive(self, message):
-        """Take a message of another replica, if the data folder is open."""
+        """Queue a message from another replica, if the data folder is open."""
         if self.is_open:
             self.put(Receive(message))
