--- a/hingepitch/control/founding.py
+++ b/hingepitch/control/founding.py
@@ -2,7 +2,7 @@
 hingepitch.control.founding
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Makes the data folder of a founding member at the first start of a group.
+Bootstrap of a group: creates the data folder of an initial member.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -14,28 +14,32 @@
 
 __all__ = ["found_when_possible"]
 
-#: Pause before a disk that refuses the first files is tried again, in seconds.
+#: Pause before the creation of the data folder is retried, in seconds.
 FOUND_PAUSE_SECONDS = 1.0
 
 
 def found_when_possible(founding, stopping):
-    """Make the data folder of a founding member, as soon as the disk takes it.
+    """Create the data folder of an initial member, retrying until that succeeds.
 
-    Ended by one refused call, the program would come back as a newcomer: its next
-    start is no more the first one.
+    Exiting on a disk error would lose the bootstrap: the next start is no
+    longer the first one, so the replica would join as a new replica.
 
     `founding`
         The arguments of `found_folder`.
     `stopping`
-        Event after which nobody waits; then `storage_failed` is raised.
+        Event that ends the retries.
+
+    Raises `HingepitchError` (`storage_failed`) if stopped before it succeeds.
     """
     while True:
         try:
             found_folder(*founding)
             return
         except HingepitchError:
-            return  # Founded at an earlier start of the same first day.
+            return  # An earlier start has already bootstrapped the folder.
         except OSError as error:
             log_event("storage_failed", error=error)
         if stopping.wait(FOUND_PAUSE_SECONDS):
-            raise HingepitchError("storage_failed", "stopped before it was founded")
+            raise HingepitchError(
+                "storage_failed", "stopped before the data folder was created"
+            )
--- a/hingepitch/control/healing.py
+++ b/hingepitch/control/healing.py
@@ -2,8 +2,8 @@
 hingepitch.control.healing
 ~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Keeps the group complete without an operator: newcomers become learners,
-learners that have caught up replace the voters that are gone.
+Automatic membership changes: new replicas become learners, and learners that
+have caught up replace voters that are lost.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -23,32 +23,33 @@
 
 __all__ = ["GroupKeeper", "GroupView", "next_members"]
 
-#: A newcomer that was silent for so long does not wait any more, in seconds.
+#: How long the announcement of a new replica is valid, in seconds.
 APPLICANT_SECONDS = 3.0
 
-#: A voter that was silent for so long may be replaced, in seconds. Source:
-#: longer than a restart (1 to 2 s) and than most cuts (5 s), so that the
-#: group does not change while somebody is merely away.
-SILENT_SECONDS = 8.0
+#: How long a voter must have been unresponsive before it may be replaced, in
+#: seconds: longer than a restart (1 to 2 s) and most network partitions (5 s),
+#: so that a brief outage does not change the members.
+UNRESPONSIVE_SECONDS = 8.0
 
-#: Time between two steps of the keeper, and between two announcements.
+#: Seconds between two membership checks, and between two announcements.
 STEP_SECONDS = 0.1
 ANNOUNCE_SECONDS = 0.4
 
 
 @dataclass(frozen=True, slots=True)
 class GroupView:
-    """What a change of the members is decided on.
+    """The input of a membership decision.
 
     `members`
-        The members in force.
+        The current members.
     `leader`
         Identity of the leader.
     `applicants`
-        Replicas that announced themselves lately, as learners.
-    `caught_up`, `silent`
-        Identities that have all committed entries; that have not answered
-        for `SILENT_SECONDS`.
+        Replicas that announced themselves recently, as learners.
+    `caught_up`
+        Identities that have every committed entry.
+    `silent`
+        Identities that have not responded for `UNRESPONSIVE_SECONDS`.
     `voters_wanted`
         How many voters the group should have.
     """
@@ -62,31 +63,31 @@
 
 
 def next_members(view):
-    """Return the members after the next single change, or None.
+    """Return the members after the next single change, or None if none is due.
 
-    At most one voter changes at a time. A member whose address announces
-    another identity has lost its disk: it cannot vote again.
+    At most one voter changes at a time. A member whose address announces a new
+    identity has lost its disk and cannot vote again under the old one.
     """
     return (
         without_lost_disk(view)
-        or with_newcomer(view)
-        or with_promoted(view)
-        or without_silent_voter(view)
+        or with_new_learner(view)
+        or with_promoted_learner(view)
+        or without_unresponsive_voter(view)
     )
 
 
 def without_lost_disk(view):
-    """Return the members without one whose disk is gone, or None."""
+    """Return the members without one that has lost its disk, or None."""
     identity_by_address = {one.address: one.identity for one in view.applicants}
     for member in view.members:
         announced = identity_by_address.get(member.address, member.identity)
         if announced != member.identity and member.identity != view.leader:
-            return without(view.members, member)
+            return without_member(view.members, member)
     return None
 
 
-def with_newcomer(view):
-    """Return the members with one more learner, or None."""
+def with_new_learner(view):
+    """Return the members with a new replica added as a learner, or None."""
     known = {member.identity for member in view.members}
     for applicant in view.applicants:
         if applicant.identity not in known:
@@ -94,8 +95,8 @@
     return None
 
 
-def with_promoted(view):
-    """Return the members with a learner made a voter, or None."""
+def with_promoted_learner(view):
+    """Return the members with one learner promoted to a voter, or None."""
     voters = [member for member in view.members if member.voter]
     if len(voters) >= view.voters_wanted:
         return None
@@ -107,54 +108,63 @@
     return None
 
 
-def without_silent_voter(view):
-    """Return the members without a silent voter that can be replaced, or None."""
+def without_unresponsive_voter(view):
+    """Return the members without an unresponsive voter, or None.
+
+    A voter is removed only if a learner is ready to replace it.
+    """
     if not any(ready_learners(view)):
         return None
     for member in view.members:
         if member.voter and member.identity in view.silent:
-            return without(view.members, member)
+            return without_member(view.members, member)
     return None
 
 
 def ready_learners(view):
-    """Yield the learners that could vote."""
+    """Yield the learners that have caught up and respond."""
     for member in view.members:
         usable = member.identity in view.caught_up
         if not member.voter and usable and member.identity not in view.silent:
             yield member
 
 
-def without(members, gone):
-    """Return `members` without one of them."""
+def without_member(members, gone):
+    """Return `members` without the member `gone`."""
     return tuple(one for one in members if one.identity != gone.identity)
 
 
 class GroupKeeper:
-    """Announces this replica, and as the leader completes the group.
-
-    `replica`, `book`, `group`
-        This replica; where the others are; calls to the leader.
-    `me`
-        This replica as a learner; its identity is read when it is open.
+    """Announces this replica to the leader; when leading, reconciles the members.
+
+    `replica`
+        The replica of this process.
+    `book`
+        The registry of the replicas' addresses.
+    `group`
+        Client for calls to the leader.
+    `self_member`
+        This replica as a learner. Its identity is not used: `announce` reads it
+        from the replica, which learns it when its data folder is opened.
     `voters_wanted`
-        0: members change only by an operator's hand.
+        How many voters the group should have; 0 disables automatic changes.
     """
 
-    def __init__(self, replica, book, group, me, voters_wanted):
+    def __init__(self, replica, book, group, self_member, voters_wanted):
         self.replica = replica
         self.book = book
         self.group = group
-        self.me = me
+        self.self_member = self_member
         self.voters_wanted = voters_wanted
         self.applicant_by_identity = {}
-        self.heard_by_identity = {}
-        self.led_since = 0.0
-
-    # On every replica.
+        self.last_response_by_identity = {}
+        self.leader_since = 0.0
 
     def announce(self):
-        """Tell the leader of this replica until it is a voter."""
+        """Announce this replica while it is no voter or knows no leader.
+
+        Runs until killed.
+        """
         while True:
             gevent.sleep(ANNOUNCE_SECONDS)
             core = self.replica.core
@@ -163,52 +173,54 @@
                 self.announce_once(core.identity)
 
     def announce_once(self, identity):
-        """Announce this replica to the leader, if one answers."""
-        me = self.me
-        question = JoinGroup(identity, me.name, me.address, me.hall)
+        """Announce this replica to the leader and learn the members from it.
+
+        A failed call is logged.
+        """
+        member = self.self_member
+        request = JoinGroup(identity, member.name, member.address, member.hall)
         try:
-            self.book.learn(decode_rows(self.group.call_once("ask", encode(question))))
+            self.book.learn(decode_rows(self.group.call_once("ask", encode(request))))
         except HingepitchError as error:
             log_event(
                 "peer_unreachable", address=self.group.preferred, error=error.code
             )
 
-    # On the leader.
-
-    def welcome(self, question):
-        """Note a newcomer; return the members.
+    def welcome(self, request):
+        """Register a new replica that announces itself; return the members.
 
-        One that cannot be called must not get into the log: each replica would
-        have to send to it.
+        An invalid address is rejected here. Once in the log, every replica
+        would have to send to it. Raises `HingepitchError`: `not_leader`,
+        `bad_request`.
         """
         core = self.replica.core
         if not self.replica.is_leader:
             raise HingepitchError("not_leader")
         try:
-            check_address(question.address)
+            check_address(request.address)
         except ValueError as error:
-            raise HingepitchError("bad_request", f"a newcomer: {error}") from None
+            raise HingepitchError("bad_request", f"new replica: {error}") from None
         applicant = Member(
-            question.identity, question.name, question.address, question.hall, False
+            request.identity, request.name, request.address, request.hall, False
         )
-        if question.identity not in self.applicant_by_identity:
-            log_event("member_joined", identity=question.identity, term=core.term)
-        self.applicant_by_identity[question.identity] = (applicant, lease_seconds())
+        if request.identity not in self.applicant_by_identity:
+            log_event("member_joined", identity=request.identity, term=core.term)
+        self.applicant_by_identity[request.identity] = (applicant, lease_seconds())
         return self.rows()
 
     def run(self):
-        """Complete the group whenever this replica leads."""
+        """Reconcile the members while this replica leads, until killed."""
         while True:
             gevent.sleep(STEP_SECONDS)
             if not self.voters_wanted or not self.replica.is_leader:
-                self.led_since = 0.0
+                self.leader_since = 0.0
                 self.applicant_by_identity.clear()
                 continue
             self.step(lease_seconds())
 
     def step(self, now):
-        """Make one change, if one is due."""
-        self.note_heard(now)
+        """Make one membership change, if one is due."""
+        self.record_responses(now)
         members = next_members(self.view(now))
         if members is None:
             return
@@ -220,17 +232,21 @@
         voters = [member.identity for member in members if member.voter]
         log_event("member_step", outcome="done", members=len(members), voters=voters)
 
-    def note_heard(self, now):
-        """Note which members have answered lately."""
-        if not self.led_since:
-            self.led_since = now
-            self.heard_by_identity = {}
+    def record_responses(self, now):
+        """Record when each member last responded.
+
+        A new leader starts without records: `leader_since` counts for members
+        that have not responded yet.
+        """
+        if not self.leader_since:
+            self.leader_since = now
+            self.last_response_by_identity = {}
         for identity, progress in self.replica.core.progress_by_identity.items():
             if progress.active:
-                self.heard_by_identity[identity] = now
+                self.last_response_by_identity[identity] = now
 
     def view(self, now):
-        """Return what the next change is decided on."""
+        """Return the `GroupView` at `now`; drops expired announcements."""
         core = self.replica.core
         fresh = {
             identity: entry
@@ -247,14 +263,14 @@
             silent=frozenset(
                 one
                 for one in others
-                if now - self.heard_by_identity.get(one, self.led_since)
-                > SILENT_SECONDS
+                if now - self.last_response_by_identity.get(one, self.leader_since)
+                > UNRESPONSIVE_SECONDS
             ),
             voters_wanted=self.voters_wanted,
         )
 
     def rows(self):
-        """Return the members for those who ask."""
+        """Return the members as a list of `MemberRow`."""
         core = self.replica.core
         return [
             MemberRow(member.identity, member.address, member.identity == core.leader)
--- a/hingepitch/control/peer.py
+++ b/hingepitch/control/peer.py
@@ -2,7 +2,7 @@
 hingepitch.control.peer
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-Sending messages to the other replicas.
+Message delivery to the other replicas, and conversion from and to thrift.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -25,17 +25,17 @@
 MAX_QUEUED = 512
 CALL_SECONDS = 2.0
 
-#: A call takes messages until their content passes this; each message is
-#: copied twice on its way out.
+#: A call's batch is closed once its payload reaches this size, which bounds the
+#: memory for it: each message is copied twice when it is sent.
 MAX_BATCH_BYTES = 2_000_000
 PAUSE_AFTER_FAILURE_SECONDS = 0.2
 
-#: Codes after which the other side has surely taken none of the messages.
-UNTAKEN_CODES = frozenset(("peer_unreachable", "storage_failed"))
+#: Error codes that prove that the receiver accepted none of the messages.
+UNDELIVERED_CODES = frozenset(("peer_unreachable", "storage_failed"))
 
 
 def to_wire(message):
-    """Return a `Message` as its thrift form."""
+    """Return the thrift form of a `Message`."""
     return PeerMessage(
         kind=int(message.kind),
         sender=message.sender,
@@ -56,21 +56,21 @@
 
 
 def from_wire(wire):
-    """Return the `Message` of its thrift form; raise `bad_request`.
+    """Return the valid `Message` of a thrift form; raise `bad_request`.
 
-    Whatever would fail in the core is refused here: there it would end the loop
-    of the replica, as often as its sender repeats it.
+    Anything that would raise in the core is rejected here, because there it
+    would end the replica's event loop each time the sender repeats it.
     """
     try:
         message = to_message(wire)
         check_message(message)
     except (ValueError, TypeError, HingepitchError) as error:
-        raise HingepitchError("bad_request", f"not a message: {error}") from None
+        raise HingepitchError("bad_request", f"invalid message: {error}") from None
     return message
 
 
 def to_message(wire):
-    """Return the `Message` of its thrift form, unchecked."""
+    """Return the `Message` of a thrift form without checking its fields."""
     return Message(
         kind=MessageKind(wire.kind),
         sender=wire.sender,
@@ -90,7 +90,7 @@
 
 
 def check_message(message):
-    """Raise ValueError or TypeError unless the core can take `message`."""
+    """Raise ValueError, TypeError or HingepitchError if `message` is invalid."""
     check_types(str, message.sender, message.receiver)
     check_types(int, message.term, message.index, message.log_term, message.commit)
     check_types(int, message.sequence)
@@ -102,22 +102,22 @@
             decode_members(entry.payload)
     if message.kind is MessageKind.SNAPSHOT:
         if [entry.kind for entry in message.entries] != [EntryKind.MEMBERS]:
-            raise ValueError("a snapshot without its members")
+            raise ValueError("a snapshot must carry exactly one entry, the members")
         return
     following = range(message.index + 1, message.index + 1 + len(message.entries))
     if [entry.index for entry in message.entries] != list(following):
-        raise ValueError("entries that do not follow each other")
+        raise ValueError("the entries are not consecutive")
 
 
 def check_types(kind, *values):
-    """Raise TypeError unless all values are of `kind`, numbers not negative."""
+    """Raise TypeError unless all values are of `kind` and no integer is negative."""
     for value in values:
         if not isinstance(value, kind) or (kind is int and value < 0):
             raise TypeError(f"expected {kind.__name__}, got {value!r:.40}")
 
 
 def take_batch(messages):
-    """Yield messages off a queue, at least one, as many as fit one call."""
+    """Remove from a queue and yield the messages for one call, at least one."""
     total = 0
     while messages and total < MAX_BATCH_BYTES:
         message = messages.popleft()
@@ -127,7 +127,10 @@
 
 
 class Link:
-    """The messages that wait for one replica."""
+    """The queue of messages to one replica.
+
+    The oldest message is dropped when the queue is full.
+    """
 
     def __init__(self, client):
         self.client = client
@@ -137,12 +140,12 @@
 
 
 class PeerLinks:
-    """Sends messages to replicas by their addresses; lost ones stay lost.
+    """Sends messages to replicas by their addresses, without retries.
 
     `name`, `key`
-        For the authentication.
+        Name and shared key for the authentication.
     `on_lost`
-        Function of a message that surely did not arrive; set by the replica.
+        Callback for each message known not to have arrived; set by the replica.
     """
 
     def __init__(self, name, key):
@@ -154,29 +157,29 @@
 
     def send(self, address, message):
         """Queue `message` for the replica at `address`."""
-        # The whole state takes long: rounds behind it would come too late.
+        # Snapshots have their own link: heartbeats queued behind one would be late.
         key = (address, message.kind is MessageKind.SNAPSHOT)
         link = self.link_by_key.get(key)
         if link is None:
             client = ControlClient(address, self.name, self.key, CALL_SECONDS)
             link = self.link_by_key[key] = Link(client)
-            gevent.spawn(self.keep_sending, link)
+            gevent.spawn(self.send_forever, link)
         link.messages.append(message)
         link.filled.set()
 
-    def keep_sending(self, link):
-        """Deliver what is queued, in batches, until killed."""
+    def send_forever(self, link):
+        """Deliver the queued messages in batches until killed."""
         while True:
             link.filled.wait()
             link.filled.clear()
             while link.messages:
-                self.deliver_safely(link, list(take_batch(link.messages)))
+                self.deliver_or_log(link, list(take_batch(link.messages)))
 
-    def deliver_safely(self, link, batch):
-        """Deliver one batch; log a failure that nothing expected.
+    def deliver_or_log(self, link, batch):
+        """Deliver one batch; log an unexpected exception instead of raising it.
 
-        Nothing starts a link again that ends: its replica would get no message
-        for as long as this process lives.
+        Nothing restarts the greenlet of a link: if it ended, its replica would
+        receive no more messages from this process.
         """
         try:
             self.deliver(link, batch)
@@ -187,7 +190,11 @@
             gevent.sleep(PAUSE_AFTER_FAILURE_SECONDS)
 
     def deliver(self, link, batch):
-        """Deliver one batch; on failure drop it, and what waits, and pause."""
+        """Deliver one batch; on failure drop it and the whole queue, and pause.
+
+        A message of the batch is reported as undelivered only if the error
+        proves it; queued messages always are.
+        """
         try:
             link.client.call("deliver", [to_wire(message) for message in batch])
             self.messages_sent += len(batch)
@@ -199,13 +206,13 @@
                 address = link.client.address
                 log_event("peer_unreachable", address=address, error=error.detail)
             link.reachable = False
-            self.drop(batch if error.code in UNTAKEN_CODES else ())
-            self.drop(link.messages)
+            self.report_undelivered(batch if error.code in UNDELIVERED_CODES else ())
+            self.report_undelivered(link.messages)
             link.messages.clear()
             gevent.sleep(PAUSE_AFTER_FAILURE_SECONDS)
 
-    def drop(self, messages):
-        """Tell of each of `messages` that it did not arrive."""
+    def report_undelivered(self, messages):
+        """Call `on_lost` for each of `messages`."""
         for message in messages:
             if self.on_lost is not None:
                 self.on_lost(message)
