--- a/hingepitch/model/__init__.py
+++ b/hingepitch/model/__init__.py
@@ -2,7 +2,8 @@
 hingepitch.model
 ~~~~~~~~~~~~~~~~
 
-The model part of hingepitch.
+The replicated state machine: records, commands, rules, codec and input
+validation.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
--- a/hingepitch/model/apply.py
+++ b/hingepitch/model/apply.py
@@ -2,8 +2,9 @@
 hingepitch.model.apply
 ~~~~~~~~~~~~~~~~~~~~~~
 
-The state machine: it refuses whatever would break a promise. It reads
-no clock and no randomness; the same log gives the same state.
+The replicated state machine. It refuses every command that would break an
+invariant. It uses neither a clock nor random numbers, so the same log always
+gives the same state.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -22,17 +23,17 @@
 
 __all__ = ["apply", "is_resend", "object_of"]
 
-#: Importing this module registers the rules for jobs.
+#: Keeps the import, which registers the rules for jobs.
 JOB_RULES = job_rule
 
-#: Command ids kept, so that a resent command gets its first outcome.
+#: Command ids kept, so that a resent command gets its original outcome.
 MAX_COMMAND_IDS = 20_000
 
 
 def apply(state, envelope, index):
     """Apply the command of `envelope` at log `index`; return its `Outcome`.
 
-    A resent command changes nothing and gets its first outcome.
+    A resent command changes nothing and gets its original outcome.
     """
     state.now_seconds = max(state.now_seconds, envelope.at_seconds)
     command_id = full_command_id(envelope)
@@ -47,17 +48,17 @@
 
 
 def full_command_id(envelope):
-    """Return the command id, told apart by partner; empty if there is none."""
+    """Return the command id prefixed by the partner; empty if there is no id."""
     return envelope.command_id and f"{envelope.partner}/{envelope.command_id}"
 
 
 def is_resend(state, envelope):
-    """Whether the command of `envelope` was decided before."""
+    """Whether the command of `envelope` was already applied."""
     return full_command_id(envelope) in state.outcome_by_command_id
 
 
 def decide(state, envelope, index):
-    """Return the outcome of a command seen for the first time."""
+    """Check and apply a command seen for the first time; return its outcome."""
     try:
         check_role(envelope)
         check_fence(state, envelope)
@@ -73,31 +74,31 @@
 
 
 def remember_outcome(state, command_id, outcome):
-    """Keep the outcome for resends, and forget the oldest ones."""
+    """Keep the outcome for resends, and drop the oldest beyond the limit."""
     state.outcome_by_command_id[command_id] = outcome
     while len(state.outcome_by_command_id) > MAX_COMMAND_IDS:
         del state.outcome_by_command_id[next(iter(state.outcome_by_command_id))]
 
 
 def check_role(envelope):
-    """Refuse commands that the sender's role may not give."""
+    """Refuse a command that the role of the sender may not send."""
     if type(envelope.command) not in COMMANDS_BY_ROLE[envelope.role]:
-        raise Refusal("forbidden", f"not a command of {envelope.role.value}")
+        raise Refusal("forbidden", f"not allowed for role {envelope.role.value}")
 
 
 def check_fence(state, envelope):
-    """Refuse a planner whose lease has passed to another."""
+    """Refuse a planner whose fencing token is not the one of the current lease."""
     if envelope.role is not Role.PLANNER:
         return
     if isinstance(envelope.command, commands.TakePlannerLease):
         return
     lease = state.get("planner_lease", "planner")
     if lease is None or lease.fence != envelope.fence:
-        raise Refusal("stale_fence", f"fence {envelope.fence} is not the last")
+        raise Refusal("stale_fence", f"fence {envelope.fence} is not the current one")
 
 
 def check_version(state, envelope):
-    """Refuse a command made against another version of its object."""
+    """Refuse a command based on a version of its object that is not current."""
     if envelope.base_version < 0:
         return
     kind, name = object_of(envelope.command)
@@ -109,7 +110,10 @@
 
 @singledispatch
 def object_of(command):
-    """Return `(kind, name)` of the object of an operator's command."""
+    """Return `(kind, name)` of the object that an operator's command changes.
+
+    Both are empty for commands without such an object.
+    """
     return "", ""
 
 
--- a/hingepitch/model/border.py
+++ b/hingepitch/model/border.py
@@ -2,7 +2,8 @@
 hingepitch.model.border
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-Validated forms of what operators hand in, by kind.
+Validates the objects that operators submit, by kind, and turns them into
+commands.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -23,7 +24,7 @@
 
 
 def check_selector(text):
-    """Return `text` if it is a selector; raise ValueError."""
+    """Return `text` if it is a valid selector; raise ValueError otherwise."""
     try:
         parse_selector(text)
     except HingepitchError as error:
@@ -39,18 +40,22 @@
 
 
 class Form(BaseModel):
-    """Base of the forms: unknown keys are refused."""
+    """Base class of the forms; it refuses unknown keys.
+
+    `command`
+        Class of the command that the form is turned into.
+    """
 
     model_config = ConfigDict(extra="forbid")
     command: ClassVar = None
 
     def to_command(self):
-        """Return the command that the form stands for."""
+        """Return the command with the fields of this form."""
         return self.command(**self.model_dump())
 
 
 class VmForm(Form):
-    """A VM."""
+    """Form of a VM."""
 
     command: ClassVar = commands.PutVm
     name: Name
@@ -65,7 +70,7 @@
 
 
 class PoolForm(Form):
-    """A pool."""
+    """Form of a pool."""
 
     command: ClassVar = commands.PutPool
     name: Name
@@ -75,7 +80,7 @@
 
 
 class ServiceForm(Form):
-    """A service."""
+    """Form of a service."""
 
     command: ClassVar = commands.PutService
     name: Name
@@ -91,7 +96,7 @@
 
 
 class TeamForm(Form):
-    """A team."""
+    """Form of a team."""
 
     command: ClassVar = commands.PutTeam
     name: Name
@@ -100,7 +105,7 @@
 
 
 class CampaignForm(Form):
-    """A maintenance campaign."""
+    """Form of a maintenance campaign."""
 
     command: ClassVar = commands.PutCampaign
     name: Name
@@ -109,7 +114,7 @@
 
 
 class JobForm(Form):
-    """A job."""
+    """Form of a job."""
 
     command: ClassVar = commands.SubmitJob
     name: Name
@@ -134,9 +139,9 @@
 
 
 def parse_object(document):
-    """Return the command of a mapping with a `kind`.
+    """Return the command for `document`, a mapping with a `kind`.
 
-    Raises `HingepitchError` (`bad_object`) with one line for each fault.
+    Raises `HingepitchError` (`bad_object`), with one line for each invalid field.
     """
     if not isinstance(document, dict) or document.get("kind") not in FORM_BY_KIND:
         kinds = ", ".join(FORM_BY_KIND)
--- a/hingepitch/model/codec.py
+++ b/hingepitch/model/codec.py
@@ -2,7 +2,7 @@
 hingepitch.model.codec
 ~~~~~~~~~~~~~~~~~~~~~~
 
-Encoding of records, commands and outcomes, by msgpack.
+Encodes and decodes records, commands and outcomes as msgpack.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -40,27 +40,27 @@
 CHANGES_DECODER = msgspec.msgpack.Decoder(list[tuple[str, str, msgspec.Raw]])
 NIL = ENCODER.encode(None)
 
-#: What bytes raise that are not what they should be, or that another version
-#: made: a name that is not known here, nesting without end, no bytes at all.
-UNREADABLE = (msgspec.MsgspecError, KeyError, TypeError, RecursionError, zlib.error)
+#: Errors raised by malformed bytes, or by bytes of another version: unknown
+#: names, unbounded nesting, empty input.
+DECODE_ERRORS = (msgspec.MsgspecError, KeyError, TypeError, RecursionError, zlib.error)
 
-#: Envelopes from this size on are compressed, in bytes: each is sent to every
-#: replica and written by each. Source: 1.3 KB take 26 us to compress and
-#: shrink to a quarter; smaller ones took longer for less.
+#: Envelopes of at least this size, in bytes, are compressed, because each is sent
+#: to and written by every replica. 1.3 KB shrink to a quarter in 26 us; smaller
+#: envelopes take longer relative to what they save.
 COMPRESS_FROM_BYTES = 1024
 COMPRESS_LEVEL = 1
 
-#: First byte of compressed data; an envelope itself begins with the byte of
-#: an array.
-COMPRESSED_MARK = 0x78
+#: First byte of zlib data. It marks compressed envelopes: an uncompressed one
+#: starts with the byte of a msgpack array.
+ZLIB_FIRST_BYTE = 0x78
 
-#: Largest envelope after expansion, in bytes. Source: the largest message
-#: between replicas.
+#: Largest envelope after decompression, in bytes: the largest message between
+#: replicas.
 MAX_EXPANDED_BYTES = 64_000_000
 
 
 def encode_envelope(envelope):
-    """Return the bytes of `envelope`, compressed where that pays."""
+    """Return the bytes of `envelope`, compressed if it is large."""
     data = ENCODER.encode(
         (
             envelope.role,
@@ -79,26 +79,29 @@
     return zlib.compress(data, COMPRESS_LEVEL)
 
 
-def expand(data):
-    """Return the envelope bytes of what `encode_envelope` made.
+def decompress_envelope(data):
+    """Return `data` of `encode_envelope`, decompressed if it is compressed.
 
-    Raises `zlib.error` if they are damaged or too large.
+    Raises `zlib.error` if it is damaged or too large.
     """
-    if data[:1] != bytes((COMPRESSED_MARK,)):
+    if data[:1] != bytes((ZLIB_FIRST_BYTE,)):
         return data
     stream = zlib.decompressobj()
-    whole = stream.decompress(data, MAX_EXPANDED_BYTES)
+    envelope_bytes = stream.decompress(data, MAX_EXPANDED_BYTES)
     if not stream.eof:
-        raise zlib.error("cut short, or too large")
-    return whole
+        raise zlib.error("the data is truncated or too large")
+    return envelope_bytes
 
 
 def decode_envelope(data):
-    """Return the `Envelope` of `data`; raise `bad_request`."""
+    """Return the `Envelope` encoded in `data`.
+
+    Raises `HingepitchError` (`bad_request`).
+    """
     try:
-        *head, name, body = ENVELOPE_DECODER.decode(expand(data))
+        *head, name, body = ENVELOPE_DECODER.decode(decompress_envelope(data))
         command = COMMAND_DECODER_BY_NAME[name].decode(body)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise HingepitchError("bad_request", f"not a command: {error}") from None
     role, partner, actor, command_id, base_version, fence, at_seconds = head
     return Envelope(
@@ -112,11 +115,16 @@
 
 
 def decode_outcome(data):
-    """Return the `Outcome` of `data`; raise `peer_failed`."""
+    """Return the `Outcome` encoded in `data`.
+
+    Raises `HingepitchError` (`peer_failed`).
+    """
     try:
         return OUTCOME_DECODER.decode(data)
-    except UNREADABLE as error:
-        raise HingepitchError("peer_failed", f"not an outcome: {error}") from None
+    except DECODE_ERRORS as error:
+        raise HingepitchError(
+            "peer_failed", f"cannot decode the outcome: {error}"
+        ) from None
 
 
 def encode_changes(changes):
@@ -125,25 +133,27 @@
 
 
 def decode_changes(data):
-    """Return a list of `(kind, key, record or None)` of `data`.
+    """Return the list of `(kind, key, record or None)` encoded in `data`.
 
-    Raises `peer_failed`: one that cannot be read makes all of them useless, for
-    a state that lacks a change must not be worked by.
+    Raises `HingepitchError` (`peer_failed`) if any change cannot be decoded: a
+    copy of the state that lacks one change must not be used.
     """
     try:
         rows = CHANGES_DECODER.decode(data)
         return [(kind, key, decode_record(kind, raw)) for kind, key, raw in rows]
-    except UNREADABLE as error:
-        raise HingepitchError("peer_failed", f"not changes: {error}") from None
+    except DECODE_ERRORS as error:
+        raise HingepitchError(
+            "peer_failed", f"cannot decode the changes: {error}"
+        ) from None
 
 
 def decode_record(kind, raw):
-    """Return the record of `kind` in `raw`, or None for one that is gone."""
+    """Return the record of `kind` encoded in `raw`, or None if it was deleted."""
     if bytes(raw) == NIL:
         return None
     return RECORD_DECODER_BY_KIND[kind].decode(raw)
 
 
 def to_plain(value):
-    """Return `value` as maps, lists and plain values, for JSON."""
+    """Return `value` as dicts, lists and scalars, for JSON."""
     return msgspec.to_builtins(value, builtin_types=())
--- a/hingepitch/model/command.py
+++ b/hingepitch/model/command.py
@@ -2,7 +2,7 @@
 hingepitch.model.command
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-Commands of the log and their outcomes.
+Commands that the log replicates, and their outcomes.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -18,7 +18,7 @@
 
 
 class Role(enum.Enum):
-    """Who sends a command."""
+    """Role of the sender of a command."""
 
     OPERATOR = "operator"
     ENTRY = "entry"
@@ -30,7 +30,9 @@
 class PutVm:
     """Register a VM, or change its labels and sizes.
 
-    `pool` counts when the VM is new; later only the system moves it.
+    `pool`
+        Initial pool of a new VM. For a registered VM it must be the current
+        pool: only the planner moves VMs between pools.
     """
 
     name: str
@@ -46,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PutPool:
-    """Declare a pool."""
+    """Create or replace a pool."""
 
     name: str
     selector: str = ""
@@ -56,7 +58,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PutService:
-    """Declare a service."""
+    """Create or replace a service."""
 
     name: str
     pool: str
@@ -72,7 +74,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PutTeam:
-    """Declare a team."""
+    """Create or replace a team."""
 
     name: str
     quota_cores: int
@@ -81,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PutCampaign:
-    """Declare a maintenance campaign; declared again, it starts anew."""
+    """Declare a maintenance campaign; declaring it again restarts it."""
 
     name: str
     selector: str = ""
@@ -90,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Delete:
-    """Remove an object of `kind`."""
+    """Remove the object `name` of `kind`."""
 
     kind: str
     name: str
@@ -98,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TakePlannerLease:
-    """Take or renew the right to plan."""
+    """Acquire or renew the planner lease, for `seconds`."""
 
     holder: str
     seconds: int
@@ -106,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantPermit:
-    """Take a VM out of service, within every budget it touches."""
+    """Take a VM out of service, within the budgets of all its services."""
 
     vm: str
     purpose: Purpose
@@ -116,14 +118,17 @@
 
 @dataclass(frozen=True, slots=True)
 class MarkDrained:
-    """No entry sends the VM anything, and nothing is in flight to it."""
+    """Record that a VM is drained.
+
+    No entry sends requests to it any more and none is in flight.
+    """
 
     vm: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReturnVm:
-    """The VM has booted anew and is healthy: end its permit."""
+    """End the permit of a VM that has rebooted and is healthy."""
 
     vm: str
     boot_id: str
@@ -131,7 +136,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MoveVm:
-    """Put a drained VM into another pool: end its permit."""
+    """Put a drained VM into another pool and end its permit."""
 
     vm: str
     from_pool: str
@@ -140,14 +145,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportLost:
-    """The platform no longer sees the VM healthy."""
+    """Record that the platform reports a VM as unhealthy."""
 
     vm: str
 
 
 @dataclass(frozen=True, slots=True)
 class ReportHealthy:
-    """The platform sees a lost VM healthy again."""
+    """Record that the platform reports a lost VM as healthy again."""
 
     vm: str
     boot_id: str
@@ -155,7 +160,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JoinEntry:
-    """Put an entry on the roster."""
+    """Register an entry, or update its hall."""
 
     name: str
     hall: str
@@ -163,7 +168,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OpenClaim:
-    """Claim a request that may not be repeated, before it is sent."""
+    """Claim a request that may not be repeated, before sending it."""
 
     service: str
     key: str
@@ -185,7 +190,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseClaim:
-    """Give a claim back: not one byte of the request left the entry."""
+    """Delete a claim because no byte of the request left the entry."""
 
     service: str
     key: str
@@ -194,7 +199,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SubmitJob:
-    """Hand in a job."""
+    """Submit a job."""
 
     name: str
     team: str
@@ -209,7 +214,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelJobs:
-    """Cancel a batch of jobs; the ones that ended are left as they are."""
+    """Cancel a batch of jobs; jobs that have ended stay unchanged."""
 
     names: list[str]
 
@@ -224,10 +229,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EndJob:
-    """Record the end of a placed job; WAITING puts it back in the queue.
+    """Record the end of a placed job.
 
+    `state`
+        New state of the job; WAITING puts it back in the queue.
     `is_lost`
-        Whether its VM was lost under it, or nobody heard how it ended.
+        Whether the job was lost with its VM, or its result is unknown.
     """
 
     job: str
@@ -267,16 +274,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """A command with who sends it and on what ground.
+    """A command with its sender and its preconditions.
 
     `command_id`
-        Names the command across resends; empty: not remembered.
+        Identifies the command when it is resent; empty: resends are not
+        detected.
     `base_version`
-        The version of the object that the sender saw; -1: any.
+        Version of the object that the sender has read; -1: any version.
     `fence`
         The planner's fencing token; 0 for others.
     `at_seconds`
-        Time of the leader that took the command, in seconds.
+        Time at which the leader accepted the command, in seconds.
     """
 
     role: Role
@@ -291,16 +299,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Outcome:
-    """What became of a command.
+    """The result of applying a command.
 
     `code`
-        Empty if accepted, else a code of `hingepitch.error`.
+        Empty if the command was accepted, else a code of `hingepitch.error`.
     `version`
-        The version of the state that has the change.
+        Version of the state that contains the change.
     `claim`
-        For claims: the one that stands.
+        For claim commands: the claim record in effect.
     `fence`
-        For the lease to plan: its fencing token.
+        For the planner lease: its fencing token.
     """
 
     code: str = ""
--- a/hingepitch/model/explain.py
+++ b/hingepitch/model/explain.py
@@ -2,7 +2,7 @@
 hingepitch.model.explain
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-Reasons: why a VM may not leave, why a job waits.
+Explains why a VM may not leave for maintenance and why a job waits.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -18,7 +18,7 @@
 
 
 def leave_obstacles(state, vm):
-    """Yield why `vm` may not leave for maintenance now."""
+    """Yield each reason why `vm` may not leave for maintenance now."""
     if vm.life is not Life.LIVE:
         yield f"the VM is {vm.life.value}"
     for service in state.services_of(vm):
@@ -28,11 +28,11 @@
 
 
 def vm_obstacles(state, job, vm):
-    """Yield why `job` may not run on `vm` now."""
+    """Yield each reason why `job` may not run on `vm` now."""
     if vm.life is not Life.LIVE:
-        yield f"VM {vm.life.value}"
+        yield f"the VM is {vm.life.value}"
     if not matches(job.selector, vm.labels):
-        yield "selector"
+        yield "selector: no match"
     jobs = state.jobs_by_vm[vm.name].values()
     for size in ("cores", "memory_gb", "accelerators"):
         if getattr(job, size) > getattr(vm, size):
@@ -40,11 +40,11 @@
         elif sum(getattr(other, size) for other in jobs) + getattr(job, size) > getattr(
             vm, size
         ):
-            yield f"{size}: taken"
+            yield f"{size}: not enough free"
 
 
 def job_obstacles(state, job):
-    """Yield why `job` waits, as one line for each reason with its count."""
+    """Yield each reason why `job` waits, with the number of VMs that it excludes."""
     if job.state is not JobState.WAITING:
         yield f"the job is {job.state.value}"
         return
@@ -65,9 +65,10 @@
 
 
 def explain(state, kind, name):
-    """Return the reasons for one object, as plain values.
+    """Return the obstacles of one VM or job, as plain values.
 
-    Raises `HingepitchError` (`unknown_object`).
+    Raises `HingepitchError` (`unknown_object`, or `bad_request` for a kind that
+    has no explanation).
     """
     record = state.by_kind.get(kind, {}).get(name)
     if record is None:
@@ -77,6 +78,6 @@
         "job": partial(job_obstacles, state),
     }
     if kind not in obstacles_by_kind:
-        raise HingepitchError("bad_request", f"nothing to explain for a {kind}")
+        raise HingepitchError("bad_request", f"cannot explain objects of kind {kind}")
     reasons = list(obstacles_by_kind[kind](record))
     return {"kind": kind, "name": name, "obstacles": reasons}
--- a/hingepitch/model/index.py
+++ b/hingepitch/model/index.py
@@ -16,22 +16,22 @@
 class Index:
     """Groups of records: `index[key]` maps names to records.
 
-    A key without records gives an empty mapping, and holds no memory.
+    A key without records gives an empty mapping and takes no memory.
     """
 
     def __init__(self):
         self.records_by_key = {}
 
     def __getitem__(self, key):
-        """Return the records under `key`, by name; not to be changed."""
+        """Return the records under `key`, by name; callers must not change them."""
         return self.records_by_key.get(key, NOTHING)
 
     def add(self, key, name, record):
-        """Put a record under `key`."""
+        """Add or replace the record `name` under `key`."""
         self.records_by_key.setdefault(key, {})[name] = record
 
     def remove(self, key, name):
-        """Take the record `name` away from `key`, if it is there."""
+        """Remove the record `name` from `key`, if it is there."""
         records = self.records_by_key.get(key)
         if records is None:
             return
--- a/hingepitch/model/record.py
+++ b/hingepitch/model/record.py
@@ -32,7 +32,7 @@
 
 
 class Life(enum.Enum):
-    """Where a VM is in its life."""
+    """State of a VM in its lifecycle."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -41,21 +41,21 @@
 
 
 class Purpose(enum.Enum):
-    """What a permit takes a VM out for."""
+    """Why a permit takes a VM out of service."""
 
     MAINTENANCE = "maintenance"
     MOVE = "move"
 
 
 class ClaimState(enum.Enum):
-    """What is known of a request that may not be repeated."""
+    """Whether the answer to a claimed request is recorded."""
 
     OPEN = "open"
     ANSWERED = "answered"
 
 
 class JobState(enum.Enum):
-    """Where a job is in its life."""
+    """State of a job in its lifecycle."""
 
     WAITING = "waiting"
     RUNNING = "running"
@@ -65,13 +65,17 @@
     CANCELLED = "cancelled"
 
 
-#: States in which a job holds room on its VM.
+#: States in which a job takes capacity of its VM.
 PLACED_STATES = (JobState.RUNNING, JobState.STOPPING)
 
 
 @dataclass(frozen=True, slots=True)
 class Vm:
-    """A machine that carries minions and jobs; it has exactly one pool."""
+    """A machine that runs minions and jobs and belongs to exactly one pool.
+
+    `maintained_version`, `maintained_at_seconds`
+        Version and time of the last maintenance; 0: never maintained.
+    """
 
     name: str
     partner: str
@@ -94,11 +98,11 @@
     """A set of VMs of one partner.
 
     `selector`
-        Which VMs the pool takes from other pools.
+        Selects the VMs that the pool takes from other pools.
     `gives`
-        Which of its VMs it may give to other pools; empty string: none.
+        Selects the VMs that it may give to other pools; empty: none.
     `floor`
-        The pool gives none away below this number of VMs.
+        Number of VMs at or below which the pool gives none away.
     """
 
     name: str
@@ -111,12 +115,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Service:
-    """What callers ask for; its minions are the VMs of `pool` it selects.
+    """A service that callers request, with its minions and limits.
+
+    Its minions are the VMs of `pool` that `selector` matches.
 
     `max_down`
-        The availability budget: VMs of the service down at once.
+        The disruption budget: how many VMs of the service may be down at once.
     `slots`
-        Requests in flight at one minion, for one entry.
+        Maximum number of requests in flight from one entry to one minion.
     """
 
     name: str
@@ -135,7 +141,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Team:
-    """A team of one partner with its quota."""
+    """A team of a partner, with its quota for jobs."""
 
     name: str
     partner: str
@@ -146,10 +152,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Campaign:
-    """A declared maintenance: the VMs selected are to be rebooted once.
+    """A declared maintenance that reboots each selected VM.
 
     `every_seconds`
-        Maintain again after this time; 0: only once.
+        Time after which a VM is due for maintenance again; 0: only once.
     """
 
     name: str
@@ -161,7 +167,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Permit:
-    """The right of the planner to take one VM out of service."""
+    """Permission for the planner to take one VM out of service.
+
+    `boot_id`
+        Boot id of the VM when the permit was granted; a different one shows
+        that the VM has rebooted.
+    `to_pool`
+        For a move: the pool that takes the VM.
+    """
 
     vm: str
     purpose: Purpose
@@ -172,7 +185,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerLease:
-    """Who plans; `fence` is the log index at which the lease was taken."""
+    """The lease that lets one planner plan.
+
+    `fence`
+        Fencing token: the log index at which the lease was taken.
+    """
 
     holder: str
     fence: int
@@ -182,7 +199,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """A request that may not be repeated, claimed before it is sent."""
+    """The claim of a request that may not be repeated, opened before sending.
+
+    `key`
+        Idempotency key of the request.
+    `digest`
+        Digest of the request, to detect a key reused for another one.
+    `status`, `content_type`, `body`
+        The answer, once it is recorded.
+    """
 
     service: str
     key: str
@@ -198,12 +223,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """Work that runs on one VM for a time, under a lease of the platform.
+    """Work that runs on one VM for a limited time, under a platform lease.
 
     `lease`
-        The version at which the job was placed; 0 while it is not.
+        The version at which the job was placed; 0 while it is not placed.
     `losses`
-        How often it was lost with its VM.
+        How many times the job was lost together with its VM.
     """
 
     name: str
@@ -226,7 +251,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EntryRecord:
-    """An entry on the roster."""
+    """An entry that has joined the fleet."""
 
     name: str
     hall: str
--- a/hingepitch/model/rule.py
+++ b/hingepitch/model/rule.py
@@ -2,7 +2,7 @@
 hingepitch.model.rule
 ~~~~~~~~~~~~~~~~~~~~~
 
-What the rules of the state machine share: refusals and checks.
+Refusals and checks shared by the rules of the state machine.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -16,14 +16,14 @@
     "Refusal",
     "apply_command",
     "check_budgets",
-    "check_life",
+    "check_lifecycle",
     "check_owner",
-    "need",
+    "require",
 ]
 
 
 class Refusal(Exception):
-    """Ends the application of a command; becomes its outcome."""
+    """Stop applying a command; `outcome` becomes the outcome of the command."""
 
     def __init__(self, code, detail="", claim=None):
         super().__init__(code)
@@ -32,15 +32,18 @@
 
 @singledispatch
 def apply_command(command, state, envelope, index):
-    """Apply one command; raise `Refusal` before any change.
+    """Apply one command; raise `Refusal` before changing anything.
 
-    Returns the claim or planner lease it made, if it made one.
+    Returns the claim or planner lease that the command stored, else None.
     """
-    raise Refusal("bad_request", f"no such command: {type(command).__name__}")
+    raise Refusal("bad_request", f"unknown command: {type(command).__name__}")
 
 
-def need(state, kind, name, partner=None):
-    """Return the record, or refuse; with `partner`, it must be theirs."""
+def require(state, kind, name, partner=None):
+    """Return the record `name` of `kind`; refuse if it does not exist.
+
+    With `partner`, also refuse if the record belongs to another partner.
+    """
     record = state.get(kind, name)
     if record is None:
         raise Refusal("unknown_object", f"no {kind} {name}")
@@ -50,21 +53,21 @@
 
 
 def check_owner(state, kind, name, partner):
-    """Refuse to replace an object of the other partner; return it or None."""
+    """Return the existing record or None; refuse one of another partner."""
     record = state.get(kind, name)
     if record is not None and record.partner != partner:
         raise Refusal("forbidden", f"{kind} {name} belongs to {record.partner}")
     return record
 
 
-def check_life(vm, *allowed):
-    """Refuse when `vm` is in none of the states `allowed`."""
+def check_lifecycle(vm, *allowed):
+    """Refuse if the lifecycle state of `vm` is not one of `allowed`."""
     if vm.life not in allowed:
         raise Refusal("wrong_life", f"VM {vm.name} is {vm.life.value}")
 
 
 def check_budgets(state, vm, added=1):
-    """Refuse when `added` more VMs down would break a budget of `vm`."""
+    """Refuse if `added` more VMs down would exceed a budget of `vm`."""
     for service in state.services_of(vm):
         down = state.count_down(service)
         if down + added > service.max_down:
--- a/hingepitch/model/rules/__init__.py
+++ b/hingepitch/model/rules/__init__.py
@@ -2,8 +2,8 @@
 hingepitch.model.rules
 ~~~~~~~~~~~~~~~~~~~~~~
 
-The rules of the state machine, by what they are about. Importing this
-package registers all of them.
+The rules of the state machine, grouped by subject. Importing this package
+registers all of them.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -13,5 +13,5 @@
 
 __all__ = ["RULES"]
 
-#: The modules that hold the rules.
+#: All modules with rules.
 RULES = (claim, declaration, job, maintenance)
--- a/hingepitch/model/rules/claim.py
+++ b/hingepitch/model/rules/claim.py
@@ -2,7 +2,7 @@
 hingepitch.model.rules.claim
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Rules for claims of requests that may not be repeated.
+Rules for the claims of requests that may not be repeated.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -12,37 +12,40 @@
 
 from hingepitch.model import command as commands
 from hingepitch.model.record import Claim, ClaimState
-from hingepitch.model.rule import Refusal, apply_command, need
+from hingepitch.model.rule import Refusal, apply_command, require
 
 __all__ = ["claim_key", "expire_claims"]
 
-#: How long an answered claim is kept after its request was claimed.
+#: Retention of an answered claim, counted from its opening.
 CLAIM_RETENTION_SECONDS = 24 * 3600
 
-#: Claims kept before answered ones go earlier, but not before this age.
+#: Above this number of claims, answered ones are kept only for the minimum
+#: retention.
 MAX_CLAIMS = 50_000
 MIN_CLAIM_RETENTION_SECONDS = 3600
 
-#: With so many claims, new ones are refused: the young ones must stay.
+#: From this number of claims on, new ones are refused: claims younger than the
+#: minimum retention must not be dropped to make space.
 REFUSE_CLAIMS_ABOVE = 2 * MAX_CLAIMS
 
-#: A claim older than the deadline by this much has an unknown outcome.
+#: Time after the deadline of the service at which the outcome of an open claim
+#: counts as unknown.
 CLAIM_GRACE_SECONDS = 2
 
 
 def claim_key(service_name, key):
-    """Return the key of a claim record."""
+    """Return the record key of a claim."""
     return f"{service_name}/{key}"
 
 
 @apply_command.register
 def _(command: commands.OpenClaim, state, envelope, index):
-    service = need(state, "service", command.service)
+    service = require(state, "service", command.service)
     key = claim_key(command.service, command.key)
     claim = state.get("claim", key)
     if claim is None:
         if len(state.by_kind["claim"]) >= REFUSE_CLAIMS_ABOVE:
-            raise Refusal("queue_full", "too many claims are kept")
+            raise Refusal("queue_full", "too many claims are stored")
         fresh = Claim(
             service=command.service,
             key=command.key,
@@ -52,29 +55,29 @@
         )
         return state.put("claim", key, fresh, index)
     if claim.digest != command.digest:
-        raise Refusal("key_reused", "the key was used with another body")
+        raise Refusal("key_reused", "the key was used with another request")
     if claim.state is ClaimState.ANSWERED:
-        raise Refusal("key_in_progress", "answered", claim)
+        raise Refusal("key_in_progress", "the request is already answered", claim)
     age_seconds = state.now_seconds - claim.at_seconds
     if age_seconds * 1000 > service.deadline_ms + CLAIM_GRACE_SECONDS * 1000:
-        raise Refusal("key_unknown", f"claimed by {claim.entry}", claim)
-    raise Refusal("key_in_progress", f"claimed by {claim.entry}", claim)
+        raise Refusal("key_unknown", f"claimed by entry {claim.entry}", claim)
+    raise Refusal("key_in_progress", f"claimed by entry {claim.entry}", claim)
 
 
-def need_claim(state, command):
-    """Return `(key, claim)` of the open claim that `command` names."""
+def require_open_claim(state, command):
+    """Return `(key, claim)` of the open claim that `command` names; refuse if none."""
     key = claim_key(command.service, command.key)
     claim = state.get("claim", key)
     if claim is None or claim.version != command.claim_version:
         raise Refusal("unknown_object", f"no claim {key}")
     if claim.state is not ClaimState.OPEN:
-        raise Refusal("key_in_progress", "answered already")
+        raise Refusal("key_in_progress", "the claim is already answered")
     return key, claim
 
 
 @apply_command.register
 def _(command: commands.CloseClaim, state, envelope, index):
-    key, claim = need_claim(state, command)
+    key, claim = require_open_claim(state, command)
     answered = replace(
         claim,
         state=ClaimState.ANSWERED,
@@ -87,12 +90,12 @@
 
 @apply_command.register
 def _(command: commands.ReleaseClaim, state, envelope, index):
-    key, _ = need_claim(state, command)
+    key, _ = require_open_claim(state, command)
     state.drop("claim", key, index)
 
 
 def expire_claims(state, index):
-    """Drop answered claims past their retention; open ones stay."""
+    """Drop the answered claims whose retention has passed; keep open ones."""
     while state.claims_by_age:
         at_seconds, key, version = state.claims_by_age[0]
         age_seconds = state.now_seconds - at_seconds
@@ -106,7 +109,7 @@
 
 
 def claim_retention_seconds(state):
-    """Return how long answered claims are kept, with as many as there are."""
+    """Return the retention of answered claims at the current number of claims."""
     if len(state.by_kind["claim"]) > MAX_CLAIMS:
         return MIN_CLAIM_RETENTION_SECONDS
     return CLAIM_RETENTION_SECONDS
--- a/hingepitch/model/rules/declaration.py
+++ b/hingepitch/model/rules/declaration.py
@@ -2,7 +2,7 @@
 hingepitch.model.rules.declaration
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Rules for what operators declare.
+Rules for the objects that operators declare.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -16,9 +16,9 @@
     Refusal,
     apply_command,
     check_budgets,
-    check_life,
+    check_lifecycle,
     check_owner,
-    need,
+    require,
 )
 from hingepitch.model.selector import parse_selector
 
@@ -32,7 +32,7 @@
 def _(command: commands.PutVm, state, envelope, index):
     before = check_owner(state, "vm", command.name, envelope.partner)
     if before is None:
-        need(state, "pool", command.pool, envelope.partner)
+        require(state, "pool", command.pool, envelope.partner)
         vm = Vm(partner=envelope.partner, **asdict(command))
     else:
         if command.pool != before.pool:
@@ -44,12 +44,12 @@
 
 
 def check_relabelled(state, before, after):
-    """Refuse labels that bring a VM that is down under a spent budget."""
+    """Refuse labels that add a VM that is down to a service without budget left."""
     carried = {service.name for service in state.services_of(before)}
     for service in state.services_of(after):
         joins = service.name not in carried
         if joins and state.count_down(service) + 1 > service.max_down:
-            raise Refusal("budget_spent", f"service {service.name}")
+            raise Refusal("budget_spent", f"no budget left for service {service.name}")
 
 
 @apply_command.register
@@ -64,7 +64,7 @@
 @apply_command.register
 def _(command: commands.PutService, state, envelope, index):
     check_owner(state, "service", command.name, envelope.partner)
-    need(state, "pool", command.pool, envelope.partner)
+    require(state, "pool", command.pool, envelope.partner)
     parse_selector(command.selector)
     service = Service(partner=envelope.partner, **asdict(command))
     state.put("service", service.name, service, index)
@@ -89,9 +89,9 @@
 def _(command: commands.Delete, state, envelope, index):
     if command.kind not in DELETABLE_KINDS:
         raise Refusal("forbidden", f"a {command.kind} cannot be deleted")
-    record = need(state, command.kind, command.name, envelope.partner)
+    record = require(state, command.kind, command.name, envelope.partner)
     if command.kind == "vm":
-        check_life(record, Life.LIVE, Life.DRAINED, Life.LOST)
+        check_lifecycle(record, Life.LIVE, Life.DRAINED, Life.LOST)
         if record.life is Life.LIVE:
             check_budgets(state, record)
     if command.kind == "pool" and state.vms_by_pool[record.name]:
--- a/hingepitch/model/rules/job.py
+++ b/hingepitch/model/rules/job.py
@@ -2,7 +2,7 @@
 hingepitch.model.rules.job
 ~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Rules for jobs: room, quotas, cancellation, ends.
+Rules for jobs: submission, placement, quotas, cancellation and end.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -12,15 +12,16 @@
 
 from hingepitch.model import command as commands
 from hingepitch.model.record import PLACED_STATES, Job, JobState, Life
-from hingepitch.model.rule import Refusal, apply_command, check_life, need
+from hingepitch.model.rule import Refusal, apply_command, check_lifecycle, require
 from hingepitch.model.selector import matches, parse_selector
 
 __all__ = ["check_quota", "check_room", "forget_ended_jobs"]
 
-#: Jobs kept after their end.
+#: Maximum number of ended jobs that are kept.
 MAX_ENDED_JOBS = 20_000
 
-#: A running job keeps its room until the platform has stopped it.
+#: State of a job after its cancellation. A running job keeps its capacity until
+#: the platform has stopped it.
 STATE_AFTER_CANCEL = {
     JobState.WAITING: JobState.CANCELLED,
     JobState.RUNNING: JobState.STOPPING,
@@ -28,18 +29,18 @@
 
 
 def forget_ended_jobs(state, index):
-    """Drop the jobs that ended the longest ago, beyond the number kept."""
+    """Drop the jobs that ended first, beyond `MAX_ENDED_JOBS`."""
     while len(state.ended_job_by_name) > MAX_ENDED_JOBS:
         state.drop("job", next(iter(state.ended_job_by_name)), index)
 
 
 @apply_command.register
 def _(command: commands.SubmitJob, state, envelope, index):
-    team = need(state, "team", command.team, envelope.partner)
-    need(state, "pool", command.pool, envelope.partner)
+    team = require(state, "team", command.team, envelope.partner)
+    require(state, "pool", command.pool, envelope.partner)
     parse_selector(command.selector)
     if state.get("job", command.name) is not None:
-        raise Refusal("bad_object", f"job {command.name} exists")
+        raise Refusal("bad_object", f"job {command.name} already exists")
     job = Job(partner=team.partner, **asdict(command))
     state.put("job", job.name, job, index)
 
@@ -47,7 +48,7 @@
 @apply_command.register
 def _(command: commands.CancelJobs, state, envelope, index):
     for name in command.names:
-        need(state, "job", name, envelope.partner)
+        require(state, "job", name, envelope.partner)
     for name in command.names:
         job = state.get("job", name)
         if job.state in STATE_AFTER_CANCEL:
@@ -57,11 +58,11 @@
 
 @apply_command.register
 def _(command: commands.PlaceJob, state, envelope, index):
-    job = need(state, "job", command.job)
-    vm = need(state, "vm", command.vm)
+    job = require(state, "job", command.job)
+    vm = require(state, "vm", command.vm)
     if job.state is not JobState.WAITING:
         raise Refusal("wrong_life", f"job {job.name} is {job.state.value}")
-    check_life(vm, Life.LIVE)
+    check_lifecycle(vm, Life.LIVE)
     if vm.pool != job.pool or not matches(job.selector, vm.labels):
         raise Refusal("not_selected", f"job {job.name} does not select {vm.name}")
     check_room(state, job, vm)
@@ -77,27 +78,29 @@
 
 
 def check_room(state, job, vm):
-    """Refuse a job that does not fit beside the ones already on `vm`."""
+    """Refuse a job that does not fit into the free capacity of `vm`."""
     for size in ("cores", "memory_gb", "accelerators"):
         jobs = state.jobs_by_vm[vm.name].values()
         taken = sum(getattr(other, size) for other in jobs)
         if taken + getattr(job, size) > getattr(vm, size):
-            raise Refusal("no_room", f"{size} of VM {vm.name}")
+            raise Refusal("no_room", f"{size}: not enough free on VM {vm.name}")
 
 
 def check_quota(state, job):
-    """Refuse a job that would take its team over the quota."""
-    team = need(state, "team", job.team)
+    """Refuse a job that would exceed the quota of its team."""
+    team = require(state, "team", job.team)
     for size in ("cores", "accelerators"):
         jobs = state.jobs_by_team[job.team].values()
         taken = sum(getattr(other, size) for other in jobs)
         if taken + getattr(job, size) > getattr(team, f"quota_{size}"):
-            raise Refusal("quota_spent", f"{size} of team {team.name}")
+            raise Refusal(
+                "quota_spent", f"{size}: not enough quota left for team {team.name}"
+            )
 
 
 @apply_command.register
 def _(command: commands.EndJob, state, envelope, index):
-    job = need(state, "job", command.job)
+    job = require(state, "job", command.job)
     if job.lease != command.lease or job.state not in PLACED_STATES:
         raise Refusal("wrong_life", f"job {job.name} is {job.state.value}")
     losses = job.losses + command.is_lost
--- a/hingepitch/model/rules/maintenance.py
+++ b/hingepitch/model/rules/maintenance.py
@@ -2,7 +2,8 @@
 hingepitch.model.rules.maintenance
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Rules for the planner: its lease, permits, moves, and what became of VMs.
+Rules for the commands of the planner (lease, permits, moves, VM health) and
+for entries that join.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -16,8 +17,8 @@
     Refusal,
     apply_command,
     check_budgets,
-    check_life,
-    need,
+    check_lifecycle,
+    require,
 )
 from hingepitch.model.selector import matches
 
@@ -30,7 +31,7 @@
     expires = state.now_seconds + command.seconds
     if lease is not None and lease.holder != command.holder:
         if state.now_seconds < lease.expires_at_seconds:
-            raise Refusal("lease_held", f"by {lease.holder}")
+            raise Refusal("lease_held", f"held by {lease.holder}")
         lease = None
     if lease is not None and lease.fence == envelope.fence:
         renewed = replace(lease, expires_at_seconds=expires)
@@ -41,8 +42,8 @@
 
 @apply_command.register
 def _(command: commands.GrantPermit, state, envelope, index):
-    vm = need(state, "vm", command.vm)
-    check_life(vm, Life.LIVE)
+    vm = require(state, "vm", command.vm)
+    check_lifecycle(vm, Life.LIVE)
     check_budgets(state, vm)
     if command.purpose is Purpose.MOVE:
         check_move(state, vm, command.to_pool)
@@ -52,34 +53,36 @@
 
 
 def check_move(state, vm, to_pool_name):
-    """Refuse a move that the owners of the pools have not allowed."""
-    to_pool = need(state, "pool", to_pool_name)
-    from_pool = need(state, "pool", vm.pool)
+    """Refuse a move that the declarations of the two pools do not allow."""
+    to_pool = require(state, "pool", to_pool_name)
+    from_pool = require(state, "pool", vm.pool)
     if to_pool.name == from_pool.name:
         raise Refusal("wrong_pool", f"VM {vm.name} is already in {to_pool.name}")
     if not from_pool.gives or not matches(from_pool.gives, vm.labels):
-        raise Refusal("not_selected", f"pool {from_pool.name} does not give it")
+        raise Refusal(
+            "not_selected", f"pool {from_pool.name} does not give this VM away"
+        )
     if not to_pool.selector or not matches(to_pool.selector, vm.labels):
-        raise Refusal("not_selected", f"pool {to_pool.name} does not take it")
-    going = sum(
+        raise Refusal("not_selected", f"pool {to_pool.name} does not take this VM")
+    moving_out = sum(
         1
         for name in state.down_by_pool[from_pool.name]
         if is_moving(state.get("permit", name))
     )
-    if len(state.vms_by_pool[from_pool.name]) - going <= from_pool.floor:
+    if len(state.vms_by_pool[from_pool.name]) - moving_out <= from_pool.floor:
         raise Refusal("budget_spent", f"pool {from_pool.name} is at its floor")
 
 
 def is_moving(permit):
-    """Whether `permit` takes its VM to another pool."""
+    """Whether `permit` is for a move to another pool."""
     return permit is not None and permit.purpose is Purpose.MOVE
 
 
 @apply_command.register
 def _(command: commands.MarkDrained, state, envelope, index):
-    vm = need(state, "vm", command.vm)
-    need(state, "permit", command.vm)
-    check_life(vm, Life.LEAVING)
+    vm = require(state, "vm", command.vm)
+    require(state, "permit", command.vm)
+    check_lifecycle(vm, Life.LEAVING)
     if state.jobs_by_vm[vm.name]:
         raise Refusal("not_drained", f"jobs run on VM {vm.name}")
     state.put("vm", vm.name, replace(vm, life=Life.DRAINED), index)
@@ -87,11 +90,11 @@
 
 @apply_command.register
 def _(command: commands.ReturnVm, state, envelope, index):
-    vm = need(state, "vm", command.vm)
-    permit = need(state, "permit", command.vm)
-    check_life(vm, Life.DRAINED, Life.LOST)
+    vm = require(state, "vm", command.vm)
+    permit = require(state, "permit", command.vm)
+    check_lifecycle(vm, Life.DRAINED, Life.LOST)
     if permit.boot_id == command.boot_id:
-        raise Refusal("wrong_boot", f"VM {vm.name} has not booted anew")
+        raise Refusal("wrong_boot", f"VM {vm.name} has not rebooted yet")
     returned = replace(
         vm,
         life=Life.LIVE,
@@ -104,14 +107,16 @@
 
 @apply_command.register
 def _(command: commands.MoveVm, state, envelope, index):
-    vm = need(state, "vm", command.vm)
-    permit = need(state, "permit", command.vm)
-    check_life(vm, Life.DRAINED)
+    vm = require(state, "vm", command.vm)
+    permit = require(state, "permit", command.vm)
+    check_lifecycle(vm, Life.DRAINED)
     if vm.pool != command.from_pool:
         raise Refusal("wrong_pool", f"VM {vm.name} is in {vm.pool}")
     if not is_moving(permit) or permit.to_pool != command.to_pool:
-        raise Refusal("wrong_pool", f"the permit is not for {command.to_pool}")
-    need(state, "pool", command.to_pool)
+        raise Refusal(
+            "wrong_pool", f"the permit is not for a move to {command.to_pool}"
+        )
+    require(state, "pool", command.to_pool)
     state.drop("permit", vm.name, index)
     moved = replace(vm, pool=command.to_pool, life=Life.LIVE)
     state.put("vm", vm.name, moved, index)
@@ -119,15 +124,15 @@
 
 @apply_command.register
 def _(command: commands.ReportLost, state, envelope, index):
-    vm = need(state, "vm", command.vm)
-    check_life(vm, Life.LIVE, Life.LEAVING)
+    vm = require(state, "vm", command.vm)
+    check_lifecycle(vm, Life.LIVE, Life.LEAVING)
     state.put("vm", vm.name, replace(vm, life=Life.LOST), index)
 
 
 @apply_command.register
 def _(command: commands.ReportHealthy, state, envelope, index):
-    vm = need(state, "vm", command.vm)
-    check_life(vm, Life.LOST)
+    vm = require(state, "vm", command.vm)
+    check_lifecycle(vm, Life.LOST)
     permit = state.get("permit", vm.name)
     life = Life.LIVE if permit is None else Life.LEAVING
     state.put("vm", vm.name, replace(vm, life=life), index)
--- a/hingepitch/model/selector.py
+++ b/hingepitch/model/selector.py
@@ -2,7 +2,8 @@
 hingepitch.model.selector
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Label selectors: equality, inequality, in, notin, exists, absent.
+Label selectors with equality, inequality, set, existence and absence
+requirements.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -22,9 +23,9 @@
 SET = r"\((?P<set>[^()]*)\)"
 VALUE_IN_SET = re.compile(r"[A-Za-z0-9][\w.-]*\Z", re.ASCII)
 
-#: Form of a requirement and the test made from its match; the first form
-#: that matches the whole requirement counts.
-FORMS = (
+#: Pattern of each form of requirement, with the function that makes its test. The
+#: first pattern that matches the complete requirement applies.
+REQUIREMENT_PATTERNS = (
     (rf"{KEY}\s*==?\s*{VALUE}", lambda key, allowed: lambda have: have in allowed),
     (rf"{KEY}\s*!=\s*{VALUE}", lambda key, allowed: lambda have: have not in allowed),
     (rf"{KEY}\s+in\s+{SET}", lambda key, allowed: lambda have: have in allowed),
@@ -32,34 +33,39 @@
     (rf"{KEY}", lambda key, allowed: lambda have: have is not None),
     (rf"!\s*{KEY}", lambda key, allowed: lambda have: have is None),
 )
-COMPILED_FORMS = tuple((re.compile(form, re.ASCII), make) for form, make in FORMS)
+COMPILED_PATTERNS = tuple(
+    (re.compile(pattern, re.ASCII), make) for pattern, make in REQUIREMENT_PATTERNS
+)
 
 
 def split_requirements(text):
-    """Yield the requirements of `text`, split at commas outside brackets."""
+    """Yield the requirements of `text`, split at commas outside parentheses."""
     for part in re.split(r",(?![^()]*\))", text):
         yield part.strip()
 
 
 def parse_requirement(text):
-    """Return `(key, test)` of one requirement; raise `bad_selector`."""
-    for form, make in COMPILED_FORMS:
-        match = form.fullmatch(text)
+    """Return `(key, test)` of one requirement.
+
+    Raises `HingepitchError` (`bad_selector`).
+    """
+    for pattern, make in COMPILED_PATTERNS:
+        match = pattern.fullmatch(text)
         if match:
             groups = match.groupdict()
             return groups["key"], make(groups["key"], allowed_values(groups))
-    raise HingepitchError("bad_selector", f"cannot parse {text!r}")
+    raise HingepitchError("bad_selector", f"cannot parse the requirement {text!r}")
 
 
 def allowed_values(groups):
-    """Return the values that a requirement names."""
+    """Return the set of values that a requirement lists."""
     if groups.get("value"):
         return frozenset([groups["value"]])
     values = [value.strip() for value in (groups.get("set") or "").split(",")]
     if groups.get("set") is not None:
         for value in values:
             if not VALUE_IN_SET.match(value):
-                raise HingepitchError("bad_selector", f"bad value {value!r}")
+                raise HingepitchError("bad_selector", f"invalid value {value!r}")
     return frozenset(values)
 
 
@@ -67,8 +73,8 @@
 def parse_selector(text):
     """Return the requirements of `text` as a tuple of `(key, test)`.
 
-    The empty selector matches everything. Raises `HingepitchError`
-    (`bad_selector`).
+    `test` takes the value of the label, or None if it is absent. An empty
+    selector matches everything. Raises `HingepitchError` (`bad_selector`).
     """
     if len(text) > MAX_SELECTOR_CHARS:
         raise HingepitchError("bad_selector", "the selector is too long")
--- a/hingepitch/model/state.py
+++ b/hingepitch/model/state.py
@@ -2,7 +2,7 @@
 hingepitch.model.state
 ~~~~~~~~~~~~~~~~~~~~~~
 
-The replicated state: records by kind, indices, and what changed when.
+The replicated state: records by kind, their indices and change feeds.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -15,7 +15,7 @@
 
 from hingepitch.error import HingepitchError
 from hingepitch.jobs.table import JobTable, TableContent
-from hingepitch.model.codec import ENCODER, RECORD_DECODER_BY_KIND, UNREADABLE
+from hingepitch.model.codec import DECODE_ERRORS, ENCODER, RECORD_DECODER_BY_KIND
 from hingepitch.model.command import Outcome
 from hingepitch.model.index import Index
 from hingepitch.model.record import PLACED_STATES, RECORD_BY_KIND, JobState, Life
@@ -23,25 +23,25 @@
 
 __all__ = ["Feed", "PLANNING_KINDS", "ROUTING_KINDS", "State"]
 
-#: What an entry must know.
+#: Kinds of records that entries follow, for routing.
 ROUTING_KINDS = ("vm", "pool", "service", "permit")
 
-#: What a planner must know.
+#: Kinds of records that planners follow.
 PLANNING_KINDS = (*ROUTING_KINDS, "team", "campaign", "planner_lease", "job", "entry")
 
-#: Changes kept for followers; who is further behind gets everything.
+#: Changes kept in a feed; a follower that is further behind gets all records.
 MAX_FEED_CHANGES = 50_000
 
-#: What a state of another version raises: of other types, without a part, or
-#: with parts that do not fit each other.
-SNAPSHOT_ERRORS = (*UNREADABLE, LookupError, AttributeError, ValueError)
+#: Errors raised by a snapshot that another version wrote: parts of other types,
+#: missing parts, or parts that do not fit each other.
+SNAPSHOT_ERRORS = (*DECODE_ERRORS, LookupError, AttributeError, ValueError)
 
 
 class Feed:
-    """The changes of some kinds of records, by version.
+    """The recent changes of some kinds of records, by version.
 
     `kinds`
-        The kinds of records that the feed carries.
+        The kinds of records whose changes the feed contains.
     """
 
     def __init__(self, kinds, version=0):
@@ -50,8 +50,8 @@
         self.first_version = version
         self.changes = deque()
 
-    def note(self, version, kind, key):
-        """Note that the record `key` of `kind` changed at `version`."""
+    def record_change(self, version, kind, key):
+        """Record that the record `key` of `kind` changed at `version`."""
         if kind not in self.kinds:
             return
         self.version = version
@@ -60,7 +60,7 @@
             self.first_version = self.changes.popleft()[0]
 
     def has_since(self, version):
-        """Whether the changes after `version` are still known."""
+        """Whether the feed still has all changes after `version`."""
         return self.first_version <= version
 
     def since(self, version):
@@ -74,14 +74,14 @@
 
 
 class State:
-    """All records, with the indices that decisions need.
+    """All records, with the indices that the rules and the planner use.
 
-    `version` is the log index of the last change. Records are only changed
-    through `put` and `drop`, which keep the indices.
+    `version` is the log index of the last change. Change records only through
+    `put` and `drop`, which keep the indices and the feeds up to date.
 
     `jobs`
-        The jobs of several steps; they have no feed, only the leader acts
-        on them.
+        The jobs that consist of several steps. They have no feed: only the
+        leader acts on them.
     """
 
     def __init__(self):
@@ -116,7 +116,7 @@
         stored = replace(record, version=version)
         self.by_kind[kind][key] = stored
         self.index(kind, key, stored)
-        self.note(version, kind, key)
+        self.record_change(version, kind, key)
         return stored
 
     def drop(self, kind, key, version):
@@ -124,13 +124,13 @@
         before = self.by_kind[kind].pop(key, None)
         if before is not None:
             self.unindex(kind, key, before)
-            self.note(version, kind, key)
+            self.record_change(version, kind, key)
 
-    def note(self, version, kind, key):
-        """Tell the feeds of a change."""
+    def record_change(self, version, kind, key):
+        """Set the version and add the change to the feeds."""
         self.version = version
         for feed in self.feed_by_name.values():
-            feed.note(version, kind, key)
+            feed.record_change(version, kind, key)
 
     def index(self, kind, key, record):
         """Add `record` to the indices."""
@@ -153,7 +153,7 @@
             self.claims_by_age.append((record.at_seconds, key, record.version))
 
     def unindex(self, kind, key, record):
-        """Take `record` out of the indices."""
+        """Remove `record` from the indices."""
         if kind == "vm":
             self.vms_by_pool.remove(record.pool, key)
             self.down_by_pool.remove(record.pool, key)
@@ -167,24 +167,28 @@
             self.ended_job_by_name.pop(key, None)
 
     def minions(self, service):
-        """Yield the VMs that carry `service`, whatever their life."""
+        """Yield the VMs that run `service`, in any lifecycle state."""
         for vm in self.vms_by_pool[service.pool].values():
             if matches(service.selector, vm.labels):
                 yield vm
 
     def services_of(self, vm):
-        """Yield the services that `vm` carries."""
+        """Yield the services that `vm` runs."""
         for service in self.services_by_pool[vm.pool].values():
             if matches(service.selector, vm.labels):
                 yield service
 
     def count_down(self, service):
-        """Return how many VMs of `service` are not live."""
+        """Return the number of VMs of `service` that are not live."""
         down = self.down_by_pool[service.pool].values()
         return sum(matches(service.selector, vm.labels) for vm in down)
 
     def changes_since(self, feed_name, version):
-        """Return `(version, full, changes)` for a follower at `version`."""
+        """Return `(version, full, changes)` for a follower at `version`.
+
+        `changes` are `(kind, key, record or None)`; with `full` they are all
+        records of the feed and replace what the follower has.
+        """
         feed = self.feed_by_name[feed_name]
         full = not feed.has_since(version)
         pairs = self.all_pairs(feed) if full else feed.since(version)
@@ -192,13 +196,13 @@
         return feed.version, full, changes
 
     def all_pairs(self, feed):
-        """Return the `(kind, key)` of every record that `feed` carries."""
+        """Return the `(kind, key)` of every record of the kinds of `feed`."""
         return [
             (kind, key) for kind in sorted(feed.kinds) for key in self.by_kind[kind]
         ]
 
     def follow(self, changes, version, full):
-        """Bring this copy to `version` by the changes of a feed."""
+        """Apply the changes of a feed to this copy, up to `version`."""
         if full:
             for kind in RECORD_BY_KIND:
                 for key in list(self.by_kind[kind]):
@@ -211,7 +215,7 @@
         self.version = version
 
     def to_snapshot(self):
-        """Return the bytes of the whole state."""
+        """Return the encoded state."""
         return ENCODER.encode(
             {
                 "version": self.version,
@@ -227,16 +231,19 @@
 
     @classmethod
     def from_snapshot(cls, data):
-        """Return the state of the bytes `data`; raise `storage_unknown`."""
+        """Return the state encoded in `data`.
+
+        Raises `HingepitchError` (`storage_unknown`) if it cannot be decoded.
+        """
         try:
             return cls.read_snapshot(data)
         except SNAPSHOT_ERRORS as error:
-            detail = f"not a state: {error!r}"
+            detail = f"cannot decode the snapshot: {error!r}"
             raise HingepitchError("storage_unknown", detail) from None
 
     @classmethod
     def read_snapshot(cls, data):
-        """Return the state of the bytes `data`, unless one of many errors comes."""
+        """Return the state encoded in `data`; raise one of `SNAPSHOT_ERRORS`."""
         raw = msgspec.msgpack.decode(data, type=dict[str, msgspec.Raw])
         state = cls()
         tables = msgspec.msgpack.decode(
@@ -253,7 +260,7 @@
         state.outcome_by_command_id = msgspec.msgpack.decode(
             raw["outcomes"], type=dict[str, Outcome]
         )
-        if "jobs" in raw:  # Snapshots of version 0.1.0 have none.
+        if "jobs" in raw:  # Snapshots of version 0.1.0 contain no jobs.
             content = msgspec.msgpack.decode(raw["jobs"], type=TableContent)
             state.jobs = JobTable.from_content(content)
         for name, version in msgspec.msgpack.decode(raw["feeds"]).items():
