--- a/hingepitch/admin/__init__.py
+++ b/hingepitch/admin/__init__.py
@@ -2,7 +2,7 @@
 hingepitch.admin
 ~~~~~~~~~~~~~~~~
 
-The admin part of hingepitch.
+The operators' command line.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
--- a/hingepitch/admin/client.py
+++ b/hingepitch/admin/client.py
@@ -2,7 +2,8 @@
 hingepitch.admin.client
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-The operators' API from outside: tries every replica, resends by id.
+Client of the operators' API; it tries each replica and resends commands under
+the same id.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -19,13 +20,13 @@
 
 __all__ = ["AdminClient", "AdminSettings"]
 
-#: A replica that is frozen holds an operator up for this long.
+#: Timeout of a call to one replica: a frozen one delays an operator by this time.
 TIMEOUT_SECONDS = 6.0
 PAUSE_SECONDS = 0.2
 WAIT_SECONDS = 3.0
 GIVE_UP_SECONDS = 30.0
 
-#: Codes after which another replica is asked, with the same command id.
+#: Codes after which the client tries the next replica, with the same command id.
 PASSING_CODES = group.PASSING_CODES | {"queue_full"}
 
 
@@ -33,7 +34,7 @@
     """Settings of `hingepitch-admin`.
 
     `control`
-        `IP:port` of the HTTP of the control replicas.
+        `IP:port` of the HTTP servers of the control replicas.
     `token`
         The operator's token.
     """
@@ -43,7 +44,7 @@
 
 
 class AdminClient:
-    """Calls the operators' API.
+    """Calls the operators' API of the control group.
 
     `settings`
         An `AdminSettings`.
@@ -64,9 +65,10 @@
         return answer
 
     def call(self, method, path, body=None):
-        """Return the answer of a replica that can give one.
+        """Return the answer of the first replica that can give one.
 
-        A command may be sent many times: its id makes it count once.
+        Tries the replicas in turn for up to `GIVE_UP_SECONDS`. A command may be
+        sent several times; its id ensures that it is applied once.
         """
         deadline = lease_seconds() + GIVE_UP_SECONDS
         while True:
@@ -81,7 +83,7 @@
             time.sleep(PAUSE_SECONDS)
 
     def command(self, base_version=-1, **fields):
-        """Send a command; return its outcome."""
+        """Send a command under a new id; return its outcome."""
         body = {"id": uuid.uuid4().hex, "base_version": base_version, **fields}
         return self.call("POST", "/v1/commands", body)
 
@@ -97,7 +99,7 @@
 
 
 def to_error(answer):
-    """Return the problem details of an answer as an exception."""
+    """Return the exception for the problem details of an answer."""
     code = answer.get("code", "internal")
     known = code if code in ERROR_BY_CODE else "internal"
     return HingepitchError(known, answer.get("detail", ""))
--- a/hingepitch/admin/program.py
+++ b/hingepitch/admin/program.py
@@ -31,7 +31,7 @@
     "job": ("name", "partner", "team", "pool", "state", "vm", "attempts"),
 }
 
-#: What the status shows of each replica: who it is, and what its folder holds.
+#: Columns of the status table: identity, role, log positions and storage faults.
 STATUS_COLUMNS = (
     "address",
     "identity",
@@ -46,14 +46,14 @@
 
 
 def open_client(settings):
-    """Return the client for a settings file."""
+    """Return a client with the settings of the file `settings`."""
     return AdminClient(load_settings(AdminSettings, settings))
 
 
 def apply(file: str, *, settings: str = DEFAULT_SETTINGS, wait: bool = False):
-    """Apply the objects of a YAML file, one command each.
+    """Create or replace the objects of a YAML file, one command each.
 
-    :param file: YAML list of objects, each with its kind
+    :param file: YAML file with a list of objects, each with its kind
     :param settings: the settings file of this program
     :param wait: wait until the changes are in force everywhere
     """
@@ -71,7 +71,7 @@
 
 
 def report_in_force(client, version):
-    """Wait until a version is in force; say so; return the exit code."""
+    """Wait until a version is in force; print the result, return the exit code."""
     if client.wait_in_force(version):
         print(f"version {version} is in force everywhere")
         return ExitCode.FINE
@@ -83,7 +83,7 @@
     """Delete an object.
 
     :param kind: vm, pool, service, team or campaign
-    :param name: its name
+    :param name: name of the object
     :param settings: the settings file of this program
     """
     outcome = open_client(settings).command(delete=[kind, name])
@@ -92,7 +92,7 @@
 
 
 def cancel(*names: str, settings: str = DEFAULT_SETTINGS):
-    """Cancel jobs, as one change.
+    """Cancel jobs with a single command.
 
     :param names: names of the jobs
     :param settings: the settings file of this program
@@ -105,10 +105,10 @@
 def get(
     kind: str, name: str = "", *, settings: str = DEFAULT_SETTINGS, json: bool = False
 ):
-    """Show the objects of a kind, or one of them.
+    """Show all objects of a kind, or one of them.
 
     :param kind: vm, pool, service, team, campaign, permit, claim, job, entry
-    :param name: show this one only
+    :param name: show only the object of this name
     :param settings: the settings file of this program
     :param json: print JSON
     """
@@ -122,7 +122,7 @@
 
 
 def claims(*, settings: str = DEFAULT_SETTINGS, json: bool = False):
-    """Show the open claims: requests whose outcome nobody knows (yet).
+    """Show the open claims: requests whose outcome is not known (yet).
 
     :param settings: the settings file of this program
     :param json: print JSON
@@ -134,7 +134,7 @@
 
 
 def status(*, settings: str = DEFAULT_SETTINGS, json: bool = False):
-    """Show the replicas, and how many more losses the group stands.
+    """Show the replicas, and how many more losses the group tolerates.
 
     :param settings: the settings file of this program
     :param json: print JSON
@@ -146,12 +146,12 @@
     if leaders and not json:
         newest = max(leaders, key=lambda row: row["term"])
         halls = ", ".join(newest["halls_that_may_go"]) or "none"
-        print(f"losses left: {newest['losses_left']}; halls that may go: {halls}")
+        print(f"losses left: {newest['losses_left']}; halls that may be lost: {halls}")
     return ExitCode.FINE if leaders else ExitCode.FAILED
 
 
 def replica_status(client, address):
-    """Return the status of one replica, or why there is none."""
+    """Return the status of one replica, or the reason why it is not available."""
     try:
         answer = client.call_at(address, "GET", "/status")
     except HingepitchError as error:
@@ -160,7 +160,7 @@
 
 
 def fault_of(answer):
-    """Return what is wrong with the data folder of a replica, or an empty text."""
+    """Return the faults of the data folder of a replica; empty if there are none."""
     faults = (
         answer["storage_fault"],
         answer["unread"] and f"cannot read {answer['unread']}",
@@ -170,17 +170,17 @@
 
 
 def explain(kind: str, name: str, *, settings: str = DEFAULT_SETTINGS):
-    """Say why a job waits or has failed, or why a VM may not leave.
+    """Explain why a job waits or has failed, or why a VM may not leave.
 
     :param kind: job, queued-job or vm
-    :param name: its name
+    :param name: name of the job or VM
     :param settings: the settings file of this program
     """
     answer = open_client(settings).call("GET", f"/v1/explain/{kind}/{name}")
     for obstacle in answer["obstacles"]:
         print(obstacle)
     if not answer["obstacles"]:
-        print(f"nothing holds {kind} {name} back")
+        print(f"no obstacles for {kind} {name} found")
     return ExitCode.FINE
 
 
@@ -193,12 +193,12 @@
     settings: str = DEFAULT_SETTINGS,
     json: bool = False,
 ):
-    """Show the audit trail: who changed what, when, before and after.
+    """Show the audit trail: who changed what and when, with old and new values.
 
     :param partner: only commands of this partner
     :param operator: only commands of this operator
     :param name: only commands on the object of this name
-    :param since_seconds: only commands since this time (epoch)
+    :param since_seconds: only commands since this time, in seconds since the epoch
     :param settings: the settings file of this program
     :param json: print JSON
     """
@@ -222,10 +222,10 @@
 
 
 def watch(*, after: int = 0, changes: int = 0, settings: str = DEFAULT_SETTINGS):
-    """Print changes as they come, one JSON line each.
+    """Print changes as they happen, one line of JSON each.
 
     :param after: only changes after this version
-    :param changes: stop after so many changes; 0: never
+    :param changes: stop after this number of changes; 0: never
     :param settings: the settings file of this program
     """
     client = open_client(settings)
@@ -253,10 +253,10 @@
     """Show or change the members of the control group.
 
     :param action: show, add (as a learner), promote (to a voter), remove
-    :param identity: identity of the replica, as its /status shows it
-    :param name: with add: its name
-    :param address: with add: its rpc address
-    :param hall: with add: its hall
+    :param identity: identity of the replica, as shown by its /status
+    :param name: with add: name of the replica
+    :param address: with add: RPC address of the replica
+    :param hall: with add: hall of the replica
     :param settings: the settings file of this program
     """
     client = open_client(settings)
--- a/hingepitch/admin/table.py
+++ b/hingepitch/admin/table.py
@@ -2,7 +2,7 @@
 hingepitch.admin.table
 ~~~~~~~~~~~~~~~~~~~~~~
 
-Tables for people.
+Prints rows as tables or as JSON.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -16,7 +16,7 @@
 
 
 def format_cell(value):
-    """Return `value` as the text of a cell."""
+    """Return the text of a cell, escaped to ASCII and cut to `MAX_CELL_CHARS`."""
     if isinstance(value, dict):
         text = ",".join(f"{key}={item}" for key, item in value.items())
     elif isinstance(value, list):
@@ -31,7 +31,7 @@
     """Print a list of mappings as a table, or as JSON.
 
     `columns`
-        Which keys to print; default: the ones of the first row.
+        Keys to print; default: the keys of the first row.
     """
     if as_json:
         print(json.dumps(rows, indent=2))
@@ -49,5 +49,5 @@
 
 
 def print_line(value):
-    """Print a value as one line of JSON, at once."""
+    """Print a value as one line of JSON and flush the output."""
     print(json.dumps(value), flush=True)
--- a/hingepitch/admin/trail.py
+++ b/hingepitch/admin/trail.py
@@ -2,7 +2,7 @@
 hingepitch.admin.trail
 ~~~~~~~~~~~~~~~~~~~~~~
 
-One audit trail from those of all replicas.
+Merges the audit trails of all replicas.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -15,38 +15,40 @@
 
 @dataclass(frozen=True, slots=True)
 class Gap:
-    """The places in the log after `after` up to `index`."""
+    """Log indices without records: above `after`, up to and including `index`."""
 
     after: int
     index: int
 
 
 def merge_trails(trails):
-    """Return the rows of all replicas' trails, each once, by place.
+    """Return the rows of all trails without duplicates, sorted by log index.
 
-    A replica may lack records, and says so by a row with `missing_after`. Such a
-    row is left only for places that every replica lacks.
+    A replica that lacks records answers a row with `missing_after` for them. The
+    result has such a row only for log indices that every replica lacks.
 
     `trails`
-        Lists of rows as replicas answer them.
+        Lists of rows, one for each replica that answered.
     """
     by_index = {}
     gaps = None
     for rows in trails:
         by_index.update((row["index"], row) for row in rows if not is_gap(row))
-        own = [Gap(row["missing_after"], row["index"]) for row in rows if is_gap(row)]
-        gaps = own if gaps is None else common_gaps(gaps, own)
+        replica_gaps = [
+            Gap(row["missing_after"], row["index"]) for row in rows if is_gap(row)
+        ]
+        gaps = replica_gaps if gaps is None else common_gaps(gaps, replica_gaps)
     rows = [*by_index.values(), *map(gap_row, gaps or ())]
     return sorted(rows, key=lambda row: row["index"])
 
 
 def is_gap(row):
-    """Whether a row stands for records that a replica lacks."""
+    """Whether a row marks records that a replica lacks."""
     return row.get("missing_after", -1) >= 0
 
 
 def common_gaps(some, others):
-    """Return what two lists of `Gap` have in common."""
+    """Return the intersections of two lists of `Gap`."""
     pairs = ((one, other) for one in some for other in others)
     common = (
         Gap(max(one.after, other.after), min(one.index, other.index))
@@ -56,7 +58,7 @@
 
 
 def gap_row(gap):
-    """Return the row that stands for a `Gap`."""
+    """Return the row that marks a `Gap`."""
     return {
         "index": gap.index,
         "at_seconds": 0,
--- a/hingepitch/load/__init__.py
+++ b/hingepitch/load/__init__.py
@@ -2,7 +2,7 @@
 hingepitch.load
 ~~~~~~~~~~~~~~~
 
-The load part of hingepitch.
+The load generator.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
--- a/hingepitch/load/generator.py
+++ b/hingepitch/load/generator.py
@@ -2,7 +2,7 @@
 hingepitch.load.generator
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Open-loop load: arrivals do not wait for answers.
+Open-loop load generator: arrivals do not wait for answers.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -24,24 +24,24 @@
 
 __all__ = ["LoadResult", "LoadTest", "percentiles"]
 
-LONGEST_MICROSECONDS = 60_000_000
+MAX_LATENCY_MICROSECONDS = 60_000_000
 SIGNIFICANT_DIGITS = 3
 ANSWER_SECONDS = 10.0
 PERCENTILES = (50, 90, 99, 99.9)
 
-#: Limits of one run, so that no run floods a machine.
+#: Limits of one run, which keep it from overloading a machine.
 MAX_RATE = 20_000
 MAX_SECONDS = 600
 MAX_IN_FLIGHT = 4000
 
 
 def new_histogram():
-    """Return an empty histogram of microseconds."""
-    return HdrHistogram(1, LONGEST_MICROSECONDS, SIGNIFICANT_DIGITS)
+    """Return an empty histogram of latencies in microseconds."""
+    return HdrHistogram(1, MAX_LATENCY_MICROSECONDS, SIGNIFICANT_DIGITS)
 
 
 def percentiles(histogram):
-    """Return the percentiles of a histogram in milliseconds."""
+    """Return the percentiles of a histogram, in milliseconds."""
     return {
         f"p{percentile}_ms": histogram.get_value_at_percentile(percentile) / 1000
         for percentile in PERCENTILES
@@ -50,12 +50,15 @@
 
 @dataclass(slots=True)
 class LoadResult:
-    """What one run came to.
+    """Result of one run.
 
+    `not_sent`
+        Requests skipped because too many were in flight.
     `outcomes`
-        Requests by outcome: `ok`, or the code of the refusal.
+        Number of requests by outcome: `ok`, `status_` and the HTTP status, or
+        the code of the failure.
     `histogram`
-        Times of the good answers, from the intended start.
+        Latencies of the successful requests, measured from the due time.
     """
 
     seconds: float = 0.0
@@ -81,22 +84,23 @@
     """Sends a mix of requests at a fixed rate for a fixed time.
 
     `targets`
-        `IP:port` of entries, or of minions to compare with.
+        `IP:port` of entries, or of minions for a comparison.
     `mix`
-        Kinds of requests, see `hingepitch.load.mix`.
+        Kinds of requests; see `hingepitch.load.mix`.
     `rate`
-        Requests a second.
+        Requests per second.
     `seconds`
-        How long.
+        Duration of the run.
     `seed`
-        Seed of the arrivals and of the mix.
+        Random seed of the arrivals and of the mix.
     `prefix`
-        Path before the service's name; empty when sent to a minion.
+        Prefix of the request path, in which `{service}` stands for the name of
+        the service; empty for requests sent to a minion.
     """
 
     def __init__(self, targets, mix, rate, seconds, seed=1, prefix="/s/{service}"):
         if not 0 < rate <= MAX_RATE or not 0 < seconds <= MAX_SECONDS:
-            raise HingepitchError("bad_request", "rate or time over the limit")
+            raise HingepitchError("bad_request", "rate or duration out of range")
         self.connections = [MinionConnections(parse_address(one)) for one in targets]
         self.mix = mix
         self.rate = rate
@@ -107,7 +111,7 @@
         self.result = LoadResult()
 
     def run(self):
-        """Run to the end; return the `LoadResult`."""
+        """Send all requests; return the `LoadResult`."""
         pool = Pool(MAX_IN_FLIGHT)
         started = lease_seconds()
         due = started
@@ -125,7 +129,7 @@
         return self.result
 
     def make_request(self, number, due):
-        """Return the request of a number."""
+        """Return request `number`, of a random kind of the mix."""
         weights = [kind.weight for kind in self.mix]
         kind = self.random.choices(self.mix, weights)[0]
         name = f"{self.run_name}-{number}"
@@ -142,7 +146,7 @@
         )
 
     def send(self, number, due):
-        """Send one request and count what became of it."""
+        """Send one request and record its outcome and latency."""
         request = self.make_request(number, due)
         connections = self.connections[number % len(self.connections)]
         self.result.sent += 1
@@ -155,5 +159,5 @@
             self.result.outcomes["ok"] += 1
             microseconds = int((lease_seconds() - due) * 1_000_000)
             self.result.histogram.record_value(
-                min(max(1, microseconds), LONGEST_MICROSECONDS)
+                min(max(1, microseconds), MAX_LATENCY_MICROSECONDS)
             )
--- a/hingepitch/load/program.py
+++ b/hingepitch/load/program.py
@@ -2,7 +2,8 @@
 hingepitch.load.program
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-Bounded load against entries, and the comparison of two reports.
+The load generator's command line: bounded load against entries, and the
+comparison of two reports.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -31,21 +32,21 @@
     seed: int = 1,
     report: str = "",
 ):
-    """Send requests at a fixed rate; print what came of them.
+    """Send requests at a fixed rate and print a report.
 
-    Times are counted from when a request was due, not from when it could be
-    sent. Rate and time are bounded.
+    Latencies are measured from the time at which a request was due, not from
+    when it could be sent. Rate and duration are limited.
 
     :param targets: IP:port of the entries
     :param mix: pharmacy-day, pharmacy-night, journey-day, journey-night or
         checks-only
-    :param rate: requests a second
-    :param seconds: how long
-    :param seed: seed of arrivals and mix
-    :param report: write the report to this file, as JSON
+    :param rate: requests per second
+    :param seconds: duration of the run
+    :param seed: random seed of the arrivals and the mix
+    :param report: also write the report to this file, as JSON
     """
     if mix not in MIX_BY_NAME or not targets:
-        print(f"expected targets and a mix of {', '.join(MIX_BY_NAME)}")
+        print(f"expected targets and one of the mixes {', '.join(MIX_BY_NAME)}")
         return ExitCode.BAD_SETTINGS
     result = LoadTest(targets, MIX_BY_NAME[mix], rate, seconds, seed).run().to_plain()
     document = {"mix": mix, "rate": rate, "seed": seed, **result}
@@ -57,13 +58,13 @@
 
 
 def print_report(document):
-    """Print a report, one value a line."""
+    """Print a report, one value per line."""
     for key, value in document.items():
         print(f"  {key.ljust(20)} {value}")
 
 
 def compare(before: str, after: str):
-    """Print the ratios of two reports.
+    """Print the numbers of two reports and their ratios.
 
     :param before: the first report
     :param after: the second report
--- a/hingepitch/planner/__init__.py
+++ b/hingepitch/planner/__init__.py
@@ -2,7 +2,7 @@
 hingepitch.planner
 ~~~~~~~~~~~~~~~~~~
 
-The planner part of hingepitch.
+The planner: maintenance waves, pool moves and placement of jobs.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
--- a/hingepitch/planner/executor.py
+++ b/hingepitch/planner/executor.py
@@ -2,7 +2,7 @@
 hingepitch.planner.executor
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Carries out the steps of a plan.
+Executes the steps of a plan.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -27,14 +27,18 @@
 
 
 class Executor:
-    """Carries out steps, by the log and by the platform.
+    """Executes steps by commands in the log and by calls to the platform.
 
-    `group`, `platform`
-        Where the steps go.
+    `group`
+        Client of the control group, which takes the commands.
+    `platform`
+        Client of the platform.
     `name`
-        Of this planner.
+        Name of this planner.
     `metrics`
-        Counts the steps.
+        Registry in which the proposed commands are counted.
+    `fence`
+        Fencing token of the planner lease; 0 without a lease.
     """
 
     def __init__(self, group, platform, name, metrics):
@@ -45,7 +49,7 @@
         self.fence = 0
 
     def propose(self, command):
-        """Put a command into the log; return its `Outcome`."""
+        """Propose a command to the control group; return its `Outcome`."""
         envelope = Envelope(Role.PLANNER, "", self.name, command, fence=self.fence)
         outcome = self.group.propose(envelope, PROPOSE_SECONDS)
         kind = type(command).__name__
@@ -57,7 +61,7 @@
 
     @singledispatchmethod
     def carry_out(self, step):
-        """Carry out one step; raise `HingepitchError`."""
+        """Execute one step; raise `HingepitchError` if it fails."""
         raise TypeError(f"not a step: {step!r}")
 
     @carry_out.register
--- a/hingepitch/planner/placement.py
+++ b/hingepitch/planner/placement.py
@@ -2,8 +2,8 @@
 hingepitch.planner.placement
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Placement of jobs: which job runs where. Pure functions over the state
-and what the platform shows.
+Placement of jobs on VMs and control of their tasks, as pure functions of the
+state and the view of the platform.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -17,61 +17,64 @@
 
 __all__ = ["Suspicion", "plan_jobs", "plan_tasks"]
 
-#: Tries of a job before it counts as failed.
+#: Attempts of a job after which it counts as failed.
 MAX_ATTEMPTS = 3
 
-#: VMs that may be lost under a job before it counts as failed: one that takes
-#: its VM away is not started on all the others as well.
+#: Losses of its VM after which a job counts as failed. The limit stops a job that
+#: crashes its VM from being started on all the others.
 MAX_LOSSES = 5
 
-#: Different jobs that must have failed on a VM before it is set aside.
-SUSPECT_AFTER = 3
-SUSPECT_SECONDS = 60.0
+#: A VM is quarantined once this number of different jobs have failed on it.
+QUARANTINE_AFTER_FAILED_JOBS = 3
+QUARANTINE_SECONDS = 60.0
 
-#: Commands to place jobs in one pass; the rest waits for the next.
-MAX_PLACED_IN_PASS = 256
+#: Jobs placed in one pass; the remaining ones wait for the next pass.
+MAX_PLACEMENTS_PER_PASS = 256
 
 
 class Suspicion:
-    """VMs that fail every task, by evidence from different jobs."""
+    """Quarantines VMs on which different jobs fail, one after another.
+
+    A job that ends well on a VM clears the evidence against the VM.
+    """
 
     def __init__(self):
         self.failed_jobs_by_vm = {}
-        self.until_by_vm = {}
-        self.learned_tasks = set()
+        self.quarantined_until_by_vm = {}
+        self.counted_tasks = set()
 
     def learn(self, task_by_name, now):
-        """Learn from the tasks that ended, once from each."""
-        self.learned_tasks &= task_by_name.keys()
+        """Count the tasks that ended, each only once."""
+        self.counted_tasks &= task_by_name.keys()
         for name, task in task_by_name.items():
-            if name in self.learned_tasks or task.state is TaskState.RUNNING:
+            if name in self.counted_tasks or task.state is TaskState.RUNNING:
                 continue
-            self.learned_tasks.add(name)
+            self.counted_tasks.add(name)
             if task.state is TaskState.FAILED:
                 self.note_failure(task.vm, name.partition("/")[0], now)
             elif task.state is TaskState.DONE:
                 self.note_success(task.vm)
 
     def note_failure(self, vm, job, now):
-        """Note that `job` failed on `vm`."""
+        """Count a failure of `job` on `vm`."""
         jobs = self.failed_jobs_by_vm.setdefault(vm, set())
         jobs.add(job)
-        if len(jobs) >= SUSPECT_AFTER:
-            self.until_by_vm[vm] = now + SUSPECT_SECONDS
+        if len(jobs) >= QUARANTINE_AFTER_FAILED_JOBS:
+            self.quarantined_until_by_vm[vm] = now + QUARANTINE_SECONDS
             jobs.clear()
 
     def note_success(self, vm):
-        """Note that a job ended well on `vm`."""
+        """Clear the failures and the quarantine of `vm`."""
         self.failed_jobs_by_vm.pop(vm, None)
-        self.until_by_vm.pop(vm, None)
+        self.quarantined_until_by_vm.pop(vm, None)
 
     def is_suspect(self, vm, now):
-        """Whether `vm` gets no jobs at `now`."""
-        return now < self.until_by_vm.get(vm, 0.0)
+        """Whether `vm` is quarantined at `now` and gets no jobs."""
+        return now < self.quarantined_until_by_vm.get(vm, 0.0)
 
 
-class Room:
-    """What is free on each VM and for each team while a plan is made."""
+class FreeCapacity:
+    """Free capacity of each VM and team, less what the plan in progress takes."""
 
     def __init__(self, state):
         self.state = state
@@ -79,12 +82,15 @@
         self.taken_by_team = {}
 
     def taken(self, jobs, extra):
-        """Return `(cores, memory_gb, accelerators)` of jobs and additions."""
+        """Return the total size of `jobs` and of the sizes in `extra`.
+
+        Sizes are `(cores, memory_gb, accelerators)`.
+        """
         sizes = [size_of(job) for job in jobs] + extra
         return tuple(sum(column) for column in zip(*sizes, strict=True)) or (0, 0, 0)
 
     def fits(self, job, vm):
-        """Whether `job` fits on `vm` beside what is planned there."""
+        """Whether `job` fits on `vm` beside the running and planned jobs."""
         jobs = self.state.jobs_by_vm[vm.name].values()
         taken = self.taken(jobs, self.taken_by_vm.get(vm.name, []))
         limits = (vm.cores, vm.memory_gb, vm.accelerators)
@@ -94,7 +100,7 @@
         )
 
     def within_quota(self, job):
-        """Whether the team of `job` may have it."""
+        """Whether `job` fits into the quota of its team."""
         team = self.state.get("team", job.team)
         if team is None:
             return False
@@ -112,17 +118,21 @@
 
 
 def size_of(job):
-    """Return `(cores, memory_gb, accelerators)`."""
+    """Return the size of `job` as `(cores, memory_gb, accelerators)`."""
     return job.cores, job.memory_gb, job.accelerators
 
 
-def in_order(jobs):
-    """Return the jobs: urgent ones first, then the ones that came first."""
+def sort_by_urgency(jobs):
+    """Return the jobs sorted: urgent ones first, then by version."""
     return sorted(jobs, key=lambda job: (not job.urgent, job.version, job.name))
 
 
 def best_vm(state, room, job, is_suspect):
-    """Return the VM that `job` fills the most, or None."""
+    """Return the VM for `job`, or None if it fits on no VM.
+
+    Prefers VMs with few accelerators, then those with few spare cores, where
+    each placed job counts as one core.
+    """
     best = None
     for vm in state.vms_by_pool[job.pool].values():
         if vm.life is not Life.LIVE or is_suspect(vm.name):
@@ -139,13 +149,13 @@
 
 
 def plan_jobs(state, is_suspect, pools):
-    """Yield the placements of the jobs that wait for a VM of `pools`."""
-    room = Room(state)
+    """Yield placements of the jobs that wait for a VM of `pools`."""
+    room = FreeCapacity(state)
     placed = 0
     wanted = frozenset(pools)
     waiting = state.waiting_job_by_name.values()
-    for job in in_order(job for job in waiting if job.pool in wanted):
-        if placed >= MAX_PLACED_IN_PASS:
+    for job in sort_by_urgency(job for job in waiting if job.pool in wanted):
+        if placed >= MAX_PLACEMENTS_PER_PASS:
             return
         if not room.within_quota(job):
             continue
@@ -157,12 +167,12 @@
 
 
 def task_name(job):
-    """Return the name of the task of a placed job."""
+    """Return the name of the platform task of a placed job."""
     return f"{job.name}/{job.lease}"
 
 
 def plan_tasks(state, view, is_renewal_due):
-    """Yield what placed jobs need of the platform, and record their ends."""
+    """Yield the platform calls for placed jobs, and the commands for ended ones."""
     running = []
     for jobs in list(state.jobs_by_vm.values()):
         for job in jobs.values():
@@ -170,26 +180,26 @@
             if task is None:
                 yield StartTask(job.name, job.lease, job.vm, job.run_seconds)
             elif task.state is TaskState.RUNNING:
-                if is_unwanted(state, job):
+                if must_stop(state, job):
                     yield StopTask(task.name)
                 else:
                     running.append(task.name)
             else:
                 is_lost = task.state is TaskState.EXPIRED
-                after = state_after(job, task)
+                after = next_job_state(job, task)
                 yield Propose(EndJob(job.name, job.lease, after, is_lost))
     if running and is_renewal_due:
         yield RenewTasks(tuple(running))
 
 
-def is_unwanted(state, job):
-    """Whether a running job must stop: cancelled, or its VM leaves."""
+def must_stop(state, job):
+    """Whether a running job must stop: it is cancelled, or its VM is leaving."""
     vm = state.get("vm", job.vm)
     leaving = vm is None or vm.life is Life.LEAVING
     return job.state is JobState.STOPPING or leaving
 
 
-def state_after(job, task):
+def next_job_state(job, task):
     """Return the state of a job whose task has ended."""
     if job.state is JobState.STOPPING:
         return JobState.CANCELLED
--- a/hingepitch/planner/platform.py
+++ b/hingepitch/planner/platform.py
@@ -2,7 +2,7 @@
 hingepitch.planner.platform
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Calls to the platform's API.
+Client of the HTTP API of the platform.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -19,20 +19,21 @@
 
 
 class PlatformClient:
-    """The platform, by its HTTP API.
+    """Calls the HTTP API of the platform.
 
     `address`
         `IP:port`.
 
-    Every call may be repeated: the platform knows reboots and tasks by
-    their ids. Calls raise `HingepitchError` (`platform_failed`).
+    Every call is idempotent: the platform identifies reboots by their request
+    id and tasks by their name. Calls raise `HingepitchError`
+    (`platform_failed`).
     """
 
     def __init__(self, address):
         self.address = address
 
     def call(self, method, path, body=None):
-        """Return the JSON answer."""
+        """Return the decoded JSON body of the answer."""
         try:
             status, answer = call_json(
                 self.address, method, path, body, timeout_seconds=TIMEOUT_SECONDS
@@ -44,21 +45,26 @@
         return answer
 
     def view(self, unhealthy_since_by_vm, now):
-        """Return the present view, keeping since when VMs are unhealthy."""
+        """Return the current `PlatformView`.
+
+        `unhealthy_since_by_vm`
+            That of the previous view; VMs that are still unhealthy keep
+            their time.
+        """
         vms = self.call("GET", "/vms")
         tasks = self.call("GET", "/tasks")
         try:
-            return make_view(vms, tasks, unhealthy_since_by_vm, now)
+            return parse_view(vms, tasks, unhealthy_since_by_vm, now)
         except (LookupError, TypeError, ValueError) as error:
-            detail = f"not a view: {error!r}"
+            detail = f"cannot decode the platform's lists: {error!r}"
             raise HingepitchError("platform_failed", detail) from None
 
     def reboot(self, vm, request_id):
-        """Reboot a VM."""
+        """Reboot a VM, once for each `request_id`."""
         self.call("POST", f"/vms/{vm}/reboot", {"request_id": request_id})
 
     def start_task(self, name, vm, run_seconds):
-        """Start a task under a lease."""
+        """Start a task under a lease of `TASK_LEASE_SECONDS`."""
         self.call(
             "POST",
             "/tasks",
@@ -80,11 +86,10 @@
         self.call("POST", "/renew", body)
 
 
-def make_view(vms, tasks, unhealthy_since_by_vm, now):
-    """Return the `PlatformView` of the platform's lists.
+def parse_view(vms, tasks, unhealthy_since_by_vm, now):
+    """Return the `PlatformView` of the platform's lists of VMs and tasks.
 
-    Lists that are not what they should be raise LookupError, TypeError or
-    ValueError.
+    Raises LookupError, TypeError or ValueError if the lists are malformed.
     """
     vm_by_name = {
         vm["name"]: PlatformVm(vm["name"], vm["healthy"], vm["boot_id"]) for vm in vms
--- a/hingepitch/planner/program.py
+++ b/hingepitch/planner/program.py
@@ -36,19 +36,19 @@
 
 __all__ = ["Planner", "main"]
 
-#: The lease to plan is renewed when this part of it has passed.
-RENEW_PART = 0.3
+#: Leases are renewed when this fraction of their duration has passed.
+RENEW_FRACTION = 0.3
 
-PAUSE_SECONDS = 0.2
+RETRY_PAUSE_SECONDS = 0.2
 
 
 class Planner(Application):
-    """Decides where jobs run and which VMs leave, while it has the lease."""
+    """Decides where jobs run and which VMs leave, while it holds the lease."""
 
     program = "planner"
 
     def setup(self):
-        """Wire the parts."""
+        """Create the clients, the state copy and the HTTP server."""
         settings = self.settings
         self.metrics = self.make_metrics()
         self.group = GroupClient(
@@ -62,7 +62,7 @@
         self.suspicion = Suspicion()
         self.scope = Scope()
         self.lease_until = 0.0
-        self.look_due = 0.0
+        self.poll_due = 0.0
         self.full_pass_due = 0.0
         self.renewal_due = 0.0
         self.is_idle = False
@@ -72,17 +72,17 @@
         self.http = HttpServer(settings.http_address, api, connections=50)
 
     def start(self):
-        """Start the children and the server."""
+        """Start the planning loop and the HTTP server."""
         self.supervisor.start("planning", self.run_passes)
         self.listen("http", self.http)
 
     def stop(self):
-        """Stop the server."""
+        """Stop the HTTP server."""
         if hasattr(self, "http"):
             self.http.stop()
 
     def run_passes(self):
-        """Make one pass after another until killed."""
+        """Run passes until killed, while this planner holds the lease."""
         while True:
             try:
                 if self.hold_lease():
@@ -91,13 +91,13 @@
                     gevent.sleep(self.settings.pass_seconds)
             except HingepitchError as error:
                 log_event("platform_failed", code=error.code, detail=error.detail)
-                gevent.sleep(PAUSE_SECONDS)
+                gevent.sleep(RETRY_PAUSE_SECONDS)
 
     def hold_lease(self):
-        """Take or renew the lease to plan; return whether it is held."""
+        """Acquire or renew the planner lease; return whether it is held."""
         seconds = self.settings.lease_seconds
         now = lease_seconds()
-        if now < self.lease_until - seconds * (1 - RENEW_PART):
+        if now < self.lease_until - seconds * (1 - RENEW_FRACTION):
             return True
         command = TakePlannerLease(self.settings.name, seconds)
         outcome = self.executor.propose(command)
@@ -109,8 +109,11 @@
         self.lease_until = now + seconds
         return True
 
-    def follow(self, wait_seconds):
-        """Bring the copy of the state up to date; wait a while for news."""
+    def sync_state(self, wait_seconds):
+        """Bring the copy of the state up to date.
+
+        Waits up to `wait_seconds` for a change, by a long poll.
+        """
         wait_ms = int(wait_seconds * 1000)
         changes = self.group.call("watch", self.version, wait_ms, seconds=3.0)
         if changes.version <= self.version:
@@ -122,32 +125,35 @@
         self.state.follow(objects, changes.version, changes.full)
         self.version = changes.version
 
-    def look_at_platform(self, now):
-        """Take a new view of the platform when that is due."""
-        if now < self.look_due:
+    def poll_platform(self, now):
+        """Get a new view of the platform if it is due; return whether it was."""
+        if now < self.poll_due:
             return False
         before = self.view
         self.view = self.platform.view(before.unhealthy_since_by_vm, now)
         self.scope.note_view(self.state, before, self.view)
         self.suspicion.learn(self.view.task_by_name, now)
-        self.look_due = now + self.settings.platform_seconds
+        self.poll_due = now + self.settings.platform_seconds
         return True
 
     def make_pass(self):
-        """Wait for news, plan once, and carry the plan out."""
-        self.follow(self.settings.pass_seconds if self.is_idle else 0)
+        """Sync the state, plan once, and execute the steps.
+
+        Waits for a change first if the last pass had no steps.
+        """
+        self.sync_state(self.settings.pass_seconds if self.is_idle else 0)
         now = lease_seconds()
-        looked = self.look_at_platform(now)
+        polled = self.poll_platform(now)
         started = lease_seconds()
-        steps = list(self.plan(now, looked))
+        steps = list(self.plan(now, polled))
         self.pass_seconds = lease_seconds() - started
         self.metrics.observe("pass_seconds", "Time of planning.", self.pass_seconds)
         for step in steps:
             self.carry_out(step)
         self.is_idle = not steps
 
-    def plan(self, now, looked):
-        """Yield all steps of one pass."""
+    def plan(self, now, polled):
+        """Yield the steps of one pass."""
         if now >= self.full_pass_due:
             self.scope.is_full = True
             self.full_pass_due = now + self.settings.full_pass_seconds
@@ -155,21 +161,21 @@
         is_suspect = partial(self.suspicion.is_suspect, now=now)
         lost_after = self.settings.lost_after_seconds
         yield from plan_health(self.state, self.view, now, lost_after)
-        yield from plan_tasks(self.state, self.view, self.is_renewal_due(now, looked))
+        yield from plan_tasks(self.state, self.view, self.is_renewal_due(now, polled))
         yield from plan_jobs(self.state, is_suspect, pools)
         yield from plan_drains(self.state, self.view)
         yield from plan_moves(self.state, self.view, pools)
         yield from plan_wave(self.state, self.view, wall_seconds(), pools)
 
-    def is_renewal_due(self, now, looked):
-        """Whether the leases of tasks are to be renewed in this pass."""
-        if not looked or now < self.renewal_due:
+    def is_renewal_due(self, now, polled):
+        """Whether the leases of tasks must be renewed in this pass."""
+        if not polled or now < self.renewal_due:
             return False
-        self.renewal_due = now + TASK_LEASE_SECONDS * RENEW_PART
+        self.renewal_due = now + TASK_LEASE_SECONDS * RENEW_FRACTION
         return True
 
     def carry_out(self, step):
-        """Carry out one step; a failure does not stop the others."""
+        """Execute one step; a failure is logged and does not stop the others."""
         try:
             self.executor.carry_out(step)
         except HingepitchError as error:
@@ -177,7 +183,7 @@
             log_event("platform_failed", step=repr(step), detail=error.detail)
 
     def is_healthy(self):
-        """Whether this planner runs; a standby is healthy too."""
+        """Whether this planner runs; a standby without the lease is healthy too."""
         return True
 
     def status(self):
@@ -195,12 +201,12 @@
 
 
 def run(*, settings: str, check: bool = False):
-    """Run one planner: it decides placement, maintenance and pool moves.
+    """Run a planner, which decides placement, maintenance and pool moves.
 
-    Run two or three; the one that holds the lease plans.
+    Run two or three for availability; only the one that holds the lease plans.
 
     :param settings: the settings file (YAML)
-    :param check: only say whether the settings are valid
+    :param check: only check whether the settings are valid
     """
     return run_daemon(Planner, PlannerSettings, settings, check)
 
--- a/hingepitch/planner/scope.py
+++ b/hingepitch/planner/scope.py
@@ -2,8 +2,8 @@
 hingepitch.planner.scope
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-Which pools a pass has to look at: the ones that changed since the
-last.
+Tracks which pools a planning pass must examine: those with a change since the
+last pass.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -13,15 +13,21 @@
 
 __all__ = ["Scope"]
 
-#: Kinds whose change may matter to every pool.
-WIDE_KINDS = frozenset(("pool", "team", "campaign", "planner_lease"))
+#: Kinds of records that do not belong to a single pool. A change of any of them
+#: but the planner lease makes the next pass examine all pools.
+GLOBAL_KINDS = frozenset(("pool", "team", "campaign", "planner_lease"))
 
 
 class Scope:
-    """The pools touched since the last pass.
+    """The pools with changes since the last pass.
 
-    Budgets, waves and placement never reach over the edge of a pool, so a
-    pass over the touched pools decides the same as one over all of them.
+    Budgets, waves and placement never depend on more than one pool, so a pass
+    over the changed pools decides the same as a pass over all of them.
+
+    `names`
+        Names of the changed pools.
+    `is_full`
+        Whether the next pass must examine all pools.
     """
 
     def __init__(self):
@@ -29,8 +35,8 @@
         self.is_full = True
 
     def note_change(self, state, kind, key, record):
-        """Note a change that `state` has not taken yet."""
-        if kind in WIDE_KINDS:
+        """Add the pools affected by a change that is not yet applied to `state`."""
+        if kind in GLOBAL_KINDS:
             self.is_full |= kind != "planner_lease"
             return
         for version in (state.get(kind, key), record):
@@ -42,7 +48,7 @@
             self.note_freed_quota(state, state.get(kind, key), record)
 
     def note_freed_quota(self, state, before, after):
-        """Note the pools that a team's next jobs wait for, when one ended."""
+        """Add the pools of the waiting jobs of a team whose job has ended."""
         if before is None or before.state not in PLACED_STATES:
             return
         if after is None or after.state not in PLACED_STATES:
@@ -50,19 +56,19 @@
                 self.names.add(job.pool)
 
     def note_view(self, state, before, after):
-        """Note the VMs that the platform shows differently than before."""
+        """Add the pools of the VMs whose report by the platform has changed."""
         for name, vm in after.vm_by_name.items():
             if before.vm_by_name.get(name) != vm:
                 self.note_vm(state, name)
 
     def note_vm(self, state, name):
-        """Note the pool of a VM."""
+        """Add the pool of a VM."""
         vm = state.get("vm", name)
         if vm is not None:
             self.names.add(vm.pool)
 
     def take(self, state):
-        """Return the names of the pools to look at, sorted; start anew."""
+        """Return the sorted names of the pools to examine, and reset."""
         names = state.by_kind["pool"] if self.is_full else self.names
         taken = sorted(names)
         self.names = set()
--- a/hingepitch/planner/settings.py
+++ b/hingepitch/planner/settings.py
@@ -25,17 +25,17 @@
     `platform`
         `IP:port` of the platform's API.
     `lease_seconds`
-        How long the lease to plan runs. Default: 5.
+        Duration of the planner lease, in seconds. Default: 5.
     `pass_seconds`
-        Longest time between two passes; a change starts one at once.
-        Default: 1.
+        Longest time between two passes, in seconds; a change starts a pass at
+        once. Default: 1.
     `platform_seconds`
-        Time between two looks at the platform's lists. Default: 2.
+        Interval of polling the platform's lists, in seconds. Default: 2.
     `full_pass_seconds`
-        Time between two passes over all pools. Default: 60.
+        Time between two passes over all pools, in seconds. Default: 60.
     `lost_after_seconds`
-        A VM that the platform shows unhealthy for so long counts as lost.
-        Default: 2.
+        Time after which a VM that the platform reports as unhealthy counts as
+        lost, in seconds. Default: 2.
     """
 
     control: Annotated[list[Address], Field(min_length=1)]
--- a/hingepitch/planner/step.py
+++ b/hingepitch/planner/step.py
@@ -2,7 +2,7 @@
 hingepitch.planner.step
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-The steps that a plan is made of.
+The steps of a plan.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -15,21 +15,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Propose:
-    """Put a command into the log."""
+    """Propose a command to the control group."""
 
     command: object
 
 
 @dataclass(frozen=True, slots=True)
 class CheckDrained:
-    """Ask the group whether a VM is drained, and record it if so."""
+    """Ask the control group whether a VM is drained; record it if so."""
 
     vm: str
 
 
 @dataclass(frozen=True, slots=True)
 class Reboot:
-    """Have the platform reboot a drained VM; the id makes it happen once."""
+    """Have the platform reboot a drained VM.
+
+    `request_id`
+        Makes the reboot idempotent.
+    """
 
     vm: str
     request_id: str
@@ -54,6 +58,6 @@
 
 @dataclass(frozen=True, slots=True)
 class RenewTasks:
-    """Have the platform renew the leases of tasks, in one call."""
+    """Have the platform renew the leases of several tasks in one call."""
 
     tasks: tuple[str, ...]
--- a/hingepitch/planner/view.py
+++ b/hingepitch/planner/view.py
@@ -2,7 +2,7 @@
 hingepitch.planner.view
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-What the platform shows of VMs and tasks; it lags.
+VMs and tasks as the platform reports them, which may be out of date.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -15,7 +15,7 @@
 
 
 class TaskState(enum.Enum):
-    """Where a task of the platform is in its life."""
+    """State of a task of the platform."""
 
     RUNNING = "running"
     DONE = "done"
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformVm:
-    """A VM as the platform shows it."""
+    """A VM as the platform reports it; `boot_id` changes with each reboot."""
 
     name: str
     healthy: bool
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Task:
-    """A task as the platform shows it; `name` is `job/lease`."""
+    """A task as the platform reports it; `name` is `job/lease`."""
 
     name: str
     vm: str
@@ -44,10 +44,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformView:
-    """One answer of the platform.
+    """VMs and tasks as of one poll of the platform.
 
     `unhealthy_since_by_vm`
-        When this planner first saw each unhealthy VM unhealthy.
+        Time at which this planner first saw each unhealthy VM as unhealthy.
     """
 
     vm_by_name: dict[str, PlatformVm] = field(default_factory=dict)
--- a/hingepitch/planner/wave.py
+++ b/hingepitch/planner/wave.py
@@ -2,8 +2,8 @@
 hingepitch.planner.wave
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-Maintenance waves and pool moves: which VM may leave now. Pure
-functions over the state and what the platform shows.
+Decides which VMs leave for maintenance waves and pool moves, as pure functions
+of the state and the view of the platform.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -30,17 +30,17 @@
     "plan_wave",
 ]
 
-#: VMs lost under a permit at which a wave takes no more.
+#: Number of VMs lost under a permit at which the waves of their partner halt.
 CORRELATED_LOSSES = 2
 
 
 class Budgets:
-    """What is left of each budget while a plan is being made.
+    """Remaining disruption budget of each service while a plan is made.
 
     `state`
-        The state that the plan starts from.
+        The state on which the plan is based.
     `pools`
-        Names of the pools that the plan is about.
+        Names of the pools that the plan covers.
     """
 
     def __init__(self, state, pools):
@@ -51,26 +51,26 @@
         }
 
     def left(self, services):
-        """Return the smallest rest of the budgets of `services`."""
+        """Return the smallest remaining budget of `services`; 1 if there are none."""
         return min(
             (self.left_by_service[service.name] for service in services),
             default=1,
         )
 
-    def pressure(self, services):
-        """Return how scarce the budgets of `services` are together."""
+    def scarcity(self, services):
+        """Return how scarce the remaining budgets of `services` are in total."""
         return sum(
             1 / max(self.left_by_service[service.name], 0.5) for service in services
         )
 
     def take(self, services):
-        """Spend one of each budget of `services`."""
+        """Take one VM off the remaining budget of each of `services`."""
         for service in services:
             self.left_by_service[service.name] -= 1
 
 
 def needs_maintenance(vm, campaigns, now_seconds):
-    """Whether a campaign of the VM's owner wants it rebooted."""
+    """Whether a campaign of the VM's partner requires a reboot of the VM."""
     for campaign in campaigns:
         if campaign.partner != vm.partner or not matches(campaign.selector, vm.labels):
             continue
@@ -83,7 +83,7 @@
 
 
 def halted_partners(state):
-    """Return the partners whose waves stopped on correlated losses."""
+    """Return the partners whose waves are halted because of correlated losses."""
     losses = {}
     for name in state.by_kind["permit"]:
         vm = state.get("vm", name)
@@ -93,7 +93,7 @@
 
 
 def wave_candidates(state, view, now_seconds, pools):
-    """Yield the live VMs that want maintenance, with their services."""
+    """Yield `(vm, services)` of the live, healthy VMs that need maintenance."""
     campaigns = list(state.by_kind["campaign"].values())
     halted = halted_partners(state)
     if not campaigns:
@@ -102,24 +102,25 @@
         for vm in state.vms_by_pool[pool].values():
             if vm.life is not Life.LIVE or vm.partner in halted:
                 continue
-            if not is_shown_healthy(view, vm.name):
+            if not is_reported_healthy(view, vm.name):
                 continue
             if needs_maintenance(vm, campaigns, now_seconds):
                 yield vm, tuple(state.services_of(vm))
 
 
-def is_shown_healthy(view, name):
-    """Whether the platform shows a VM healthy."""
-    shown = view.vm_by_name.get(name)
-    return shown is not None and shown.healthy
+def is_reported_healthy(view, name):
+    """Whether the platform reports a VM as healthy."""
+    reported = view.vm_by_name.get(name)
+    return reported is not None and reported.healthy
 
 
-def in_order(candidates, budgets, racks_down):
-    """Return the candidates, the ones that the end of the wave waits for first.
+def sort_candidates(candidates, budgets, racks_down):
+    """Return the candidates in the order in which they should leave.
 
-    The service with the most VMs left for its budget decides how long the
-    wave takes, so its VMs go first; among equals, a VM in a rack that is
-    already touched, so that a wave spreads over few failure domains.
+    The service with the most remaining VMs relative to its budget determines
+    how long the wave takes, so its VMs go first. Among equals, VMs in a rack
+    that already has VMs down go first, so that the wave affects few failure
+    domains at once.
     """
     candidates = list(candidates)
     left = Counter(service.name for _, services in candidates for service in services)
@@ -127,18 +128,18 @@
     def key(pair):
         vm, services = pair
         rounds = max((rounds_left(service, left) for service in services), default=0)
-        return -rounds, vm.rack not in racks_down, budgets.pressure(services), vm.name
+        return -rounds, vm.rack not in racks_down, budgets.scarcity(services), vm.name
 
     return sorted(candidates, key=key)
 
 
 def rounds_left(service, left):
-    """Return how many times the budget of `service` its VMs left are."""
+    """Return how many rounds `service` needs for its remaining VMs."""
     return left[service.name] / max(service.max_down, 0.5)
 
 
 def within_budget(candidates, budgets):
-    """Yield the candidates that every budget still allows, and spend it."""
+    """Yield the candidates that all budgets allow, and spend the budgets."""
     for vm, services in candidates:
         if budgets.left(services) > 0:
             budgets.take(services)
@@ -146,17 +147,17 @@
 
 
 def plan_wave(state, view, now_seconds, pools):
-    """Yield the permits that use up the budgets in `pools`, and no more."""
+    """Yield maintenance permits for `pools`, up to the remaining budgets."""
     budgets = Budgets(state, pools)
     racks_down = {vm.rack for pool in pools for vm in state.down_by_pool[pool].values()}
     candidates = wave_candidates(state, view, now_seconds, pools)
-    for vm in within_budget(in_order(candidates, budgets, racks_down), budgets):
+    for vm in within_budget(sort_candidates(candidates, budgets, racks_down), budgets):
         boot_id = view.vm_by_name[vm.name].boot_id
         yield Propose(GrantPermit(vm.name, Purpose.MAINTENANCE, boot_id))
 
 
 def plan_drains(state, view):
-    """Yield the next step of every VM that has a permit."""
+    """Yield the next step of each VM that has a permit."""
     for permit in state.by_kind["permit"].values():
         vm = state.get("vm", permit.vm)
         if vm is None:
@@ -171,16 +172,16 @@
 
 
 def plan_reboot(vm, permit, view):
-    """Yield the reboot of a drained VM, or its return after it."""
-    shown = view.vm_by_name.get(vm.name)
-    if shown is not None and shown.healthy and shown.boot_id != permit.boot_id:
-        yield Propose(ReturnVm(vm.name, shown.boot_id))
-    elif shown is None or shown.boot_id == permit.boot_id:
+    """Yield the reboot of a drained VM, or its return once it has rebooted."""
+    reported = view.vm_by_name.get(vm.name)
+    if reported is not None and reported.healthy and reported.boot_id != permit.boot_id:
+        yield Propose(ReturnVm(vm.name, reported.boot_id))
+    elif reported is None or reported.boot_id == permit.boot_id:
         yield Reboot(vm.name, f"{vm.name}-{permit.version}")
 
 
 def plan_health(state, view, now, lost_after_seconds):
-    """Yield reports of VMs that the platform lost or has again."""
+    """Yield reports of VMs that the platform reports as lost or healthy again."""
     for name, since in view.unhealthy_since_by_vm.items():
         vm = state.get("vm", name)
         is_up = vm is not None and vm.life in (Life.LIVE, Life.LEAVING)
@@ -188,22 +189,22 @@
             yield Propose(ReportLost(name))
     for vms in state.down_by_pool.values():
         for vm in vms.values():
-            if vm.life is Life.LOST and is_shown_healthy(view, vm.name):
+            if vm.life is Life.LOST and is_reported_healthy(view, vm.name):
                 yield plan_recovery(state, vm, view.vm_by_name[vm.name])
 
 
-def plan_recovery(state, vm, shown):
-    """Return the step that brings a lost VM back."""
+def plan_recovery(state, vm, reported):
+    """Return the step that ends the loss of a VM that is healthy again."""
     permit = state.get("permit", vm.name)
-    if permit is not None and shown.boot_id != permit.boot_id:
-        return Propose(ReturnVm(vm.name, shown.boot_id))
-    return Propose(ReportHealthy(vm.name, shown.boot_id))
+    if permit is not None and reported.boot_id != permit.boot_id:
+        return Propose(ReturnVm(vm.name, reported.boot_id))
+    return Propose(ReportHealthy(vm.name, reported.boot_id))
 
 
-def wanted_pool(state, vm):
-    """Return the pool that takes `vm` from its own, or None.
+def target_pool(state, vm):
+    """Return the pool that should take `vm` from its current pool, or None.
 
-    A VM stays where it is as long as its own pool's selector holds it.
+    A VM stays in its pool as long as the selector of that pool matches it.
     """
     own = state.get("pool", vm.pool)
     if own is None or not own.gives or not matches(own.gives, vm.labels):
@@ -218,15 +219,15 @@
 
 
 def plan_moves(state, view, pools):
-    """Yield the permits of VMs whose labels put them into another pool."""
+    """Yield move permits for VMs whose labels select another pool."""
     for name in pools:
         own = state.get("pool", name)
         if own is None or not own.gives:
             continue
         for vm in state.vms_by_pool[name].values():
-            pool = wanted_pool(state, vm) if vm.life is Life.LIVE else None
-            shown = view.vm_by_name.get(vm.name)
-            if pool is not None and shown is not None:
+            pool = target_pool(state, vm) if vm.life is Life.LIVE else None
+            reported = view.vm_by_name.get(vm.name)
+            if pool is not None and reported is not None:
                 yield Propose(
-                    GrantPermit(vm.name, Purpose.MOVE, shown.boot_id, pool.name)
+                    GrantPermit(vm.name, Purpose.MOVE, reported.boot_id, pool.name)
                 )
