--- a/hingepitch/admin/program.py
+++ b/hingepitch/admin/program.py
@@ -51,7 +51,7 @@
 
 
 def apply(file: str, *, settings: str = DEFAULT_SETTINGS, wait: bool = False):
-    """Create or replace the objects of a YAML file, one command each.
+    """Apply the objects of a YAML file, one command each.
 
     :param file: YAML file with a list of objects, each with its kind
     :param settings: the settings file of this program
--- a/hingepitch/model/apply.py
+++ b/hingepitch/model/apply.py
@@ -53,7 +53,7 @@
 
 
 def is_resend(state, envelope):
-    """Whether the command of `envelope` was already applied."""
+    """Whether the command of `envelope` already has an outcome."""
     return full_command_id(envelope) in state.outcome_by_command_id
 
 
--- a/hingepitch/model/command.py
+++ b/hingepitch/model/command.py
@@ -145,7 +145,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportLost:
-    """Record that the platform reports a VM as unhealthy."""
+    """Record that a VM is lost: the platform reports it as unhealthy."""
 
     vm: str
 
--- a/hingepitch/model/state.py
+++ b/hingepitch/model/state.py
@@ -51,7 +51,7 @@
         self.changes = deque()
 
     def record_change(self, version, kind, key):
-        """Record that the record `key` of `kind` changed at `version`."""
+        """Add a change of the record `key` of `kind` at `version`."""
         if kind not in self.kinds:
             return
         self.version = version
--- a/hingepitch/planner/placement.py
+++ b/hingepitch/planner/placement.py
@@ -172,7 +172,7 @@
 
 
 def plan_tasks(state, view, is_renewal_due):
-    """Yield the platform calls for placed jobs, and the commands for ended ones."""
+    """Yield the platform calls for placed jobs and the commands for ended ones."""
     running = []
     for jobs in list(state.jobs_by_vm.values()):
         for job in jobs.values():
