--- a/hingepitch/admin/client.py
+++ b/hingepitch/admin/client.py
@@ -27,7 +27,7 @@
 GIVE_UP_SECONDS = 30.0
 
 #: Codes after which the client tries the next replica, with the same command id.
-PASSING_CODES = group.PASSING_CODES | {"queue_full"}
+TRANSIENT_CODES = group.TRANSIENT_CODES | {"queue_full"}
 
 
 class AdminSettings(Settings):
@@ -54,7 +54,7 @@
         self.settings = settings
         self.preferred = 0
 
-    def call_at(self, address, method, path, body=None):
+    def call_replica(self, address, method, path, body=None):
         """Return the JSON answer of one replica; raise `HingepitchError`."""
         headers = {"Authorization": f"Bearer {self.settings.token}"}
         status, answer = call_json(
@@ -75,9 +75,9 @@
             addresses = self.settings.control
             address = addresses[self.preferred % len(addresses)]
             try:
-                return self.call_at(address, method, path, body)
+                return self.call_replica(address, method, path, body)
             except HingepitchError as error:
-                if error.code not in PASSING_CODES or lease_seconds() > deadline:
+                if error.code not in TRANSIENT_CODES or lease_seconds() > deadline:
                     raise
             self.preferred += 1
             time.sleep(PAUSE_SECONDS)
--- a/hingepitch/admin/program.py
+++ b/hingepitch/admin/program.py
@@ -153,13 +153,13 @@
 def replica_status(client, address):
     """Return the status of one replica, or the reason why it is not available."""
     try:
-        answer = client.call_at(address, "GET", "/status")
+        answer = client.call_replica(address, "GET", "/status")
     except HingepitchError as error:
         return {"address": address, "fault": error.detail}
-    return {"address": address, "fault": fault_of(answer), **answer}
+    return {"address": address, "fault": describe_storage_fault(answer), **answer}
 
 
-def fault_of(answer):
+def describe_storage_fault(answer):
     """Return the faults of the data folder of a replica; empty if there are none."""
     faults = (
         answer["storage_fault"],
@@ -210,7 +210,7 @@
     trails = []
     for address in client.settings.control:
         try:
-            trails.append(client.call_at(address, "GET", query))
+            trails.append(client.call_replica(address, "GET", query))
         except HingepitchError as error:
             if error.code != "peer_failed":
                 raise
--- a/hingepitch/control/founding.py
+++ b/hingepitch/control/bootstrap.py
@@ -1,6 +1,6 @@
 """
-hingepitch.control.founding
-~~~~~~~~~~~~~~~~~~~~~~~~~~~
+hingepitch.control.bootstrap
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
 Bootstrap of a group: creates the data folder of an initial member.
 
@@ -12,13 +12,13 @@
 from hingepitch.error import HingepitchError
 from hingepitch.log import log_event
 
-__all__ = ["found_when_possible"]
+__all__ = ["bootstrap_when_possible"]
 
 #: Pause before the creation of the data folder is retried, in seconds.
-FOUND_PAUSE_SECONDS = 1.0
+BOOTSTRAP_RETRY_SECONDS = 1.0
 
 
-def found_when_possible(founding, stopping):
+def bootstrap_when_possible(founding, stopping):
     """Create the data folder of an initial member, retrying until that succeeds.
 
     Exiting on a disk error would lose the bootstrap: the next start is no
@@ -39,7 +39,7 @@
             return  # An earlier start has already bootstrapped the folder.
         except OSError as error:
             log_event("storage_failed", error=error)
-        if stopping.wait(FOUND_PAUSE_SECONDS):
+        if stopping.wait(BOOTSTRAP_RETRY_SECONDS):
             raise HingepitchError(
                 "storage_failed", "stopped before the data folder was created"
             )
--- a/hingepitch/control/consensus.py
+++ b/hingepitch/control/consensus.py
@@ -125,7 +125,7 @@
 
     `step(event)` returns the actions to execute, in order. What an action
     stores must be durable before a later `Send` or `Commit` is executed. The
-    exception is a leader's own entries (`Append.is_ahead`): the leader sends
+    exception is a leader's own entries (`Append.is_async`): the leader sends
     them while its disk is still writing, and counts itself towards their
     quorum only after `Durable`. Once a replica no longer leads, all entries
     written this way must be durable before it sends a message.
@@ -550,16 +550,16 @@
 
     def append_as_leader(self, entries):
         """Append entries of this leader and send them to the followers."""
-        self.append(entries, is_ahead=True)
+        self.append(entries, is_async=True)
         self.broadcast()
 
-    def append(self, entries, is_ahead=False):
+    def append(self, entries, is_async=False):
         """Append entries to the log, in memory and on disk."""
         self.membership.truncate(entries[0].index)
         self.log.append(entries)
         for entry in entries:
             self.apply_member_entry(entry)
-        self.emit(Append(tuple(entries), is_ahead))
+        self.emit(Append(tuple(entries), is_async))
 
     def apply_member_entry(self, entry):
         """Adopt the members that `entry` lists, if it is a membership entry."""
--- a/hingepitch/control/handler.py
+++ b/hingepitch/control/handler.py
@@ -12,7 +12,7 @@
 from hingepitch.control.peer import from_wire
 from hingepitch.error import HingepitchError
 from hingepitch.gen.control.ttypes import Changes, Refused
-from hingepitch.jobs.question import decode_question, encode
+from hingepitch.jobs.question import decode_request, encode
 from hingepitch.model.codec import decode_envelope, encode_changes, encode_outcome
 from hingepitch.model.command import Envelope, JoinEntry, Role
 
@@ -130,7 +130,7 @@
         """Wait until a feed has a change after `version`, or in vain."""
         deadline = lease_seconds() + seconds
         while self.replica.state.feed_by_name[feed_name].version == version:
-            if not self.replica.wait_change(deadline - lease_seconds()):
+            if not self.replica.wait_for_change(deadline - lease_seconds()):
                 return
 
     def changes(self, feed_name, version, seconds):
@@ -141,7 +141,7 @@
 
     def ask(self, question):
         """Answer a question of `hingepitch.jobs.question`."""
-        decoded = decode_question(question)
+        decoded = decode_request(question)
         return encode(self.on_leader(self.jobs.answer, decoded))
 
     def on_leader(self, function, *arguments):
--- a/hingepitch/control/healing.py
+++ b/hingepitch/control/healing.py
@@ -21,7 +21,7 @@
 from hingepitch.peerbook import decode_rows
 from hingepitch.setting import check_address
 
-__all__ = ["GroupKeeper", "GroupView", "next_members"]
+__all__ = ["GroupReconciler", "GroupView", "next_members"]
 
 #: How long the announcement of a new replica is valid, in seconds.
 APPLICANT_SECONDS = 3.0
@@ -48,7 +48,7 @@
         Replicas that announced themselves recently, as learners.
     `caught_up`
         Identities that have every committed entry.
-    `silent`
+    `not_responding`
         Identities that have not responded for `UNRESPONSIVE_SECONDS`.
     `voters_wanted`
         How many voters the group should have.
@@ -58,7 +58,7 @@
     leader: str
     applicants: tuple[Member, ...]
     caught_up: frozenset[str]
-    silent: frozenset[str]
+    not_responding: frozenset[str]
     voters_wanted: int
 
 
@@ -116,7 +116,7 @@
     if not any(ready_learners(view)):
         return None
     for member in view.members:
-        if member.voter and member.identity in view.silent:
+        if member.voter and member.identity in view.not_responding:
             return without_member(view.members, member)
     return None
 
@@ -125,7 +125,7 @@
     """Yield the learners that have caught up and respond."""
     for member in view.members:
         usable = member.identity in view.caught_up
-        if not member.voter and usable and member.identity not in view.silent:
+        if not member.voter and usable and member.identity not in view.not_responding:
             yield member
 
 
@@ -134,7 +134,7 @@
     return tuple(one for one in members if one.identity != gone.identity)
 
 
-class GroupKeeper:
+class GroupReconciler:
     """Announces this replica to the leader; when leading, reconciles the members.
 
     `replica`
@@ -186,7 +186,7 @@
                 "peer_unreachable", address=self.group.preferred, error=error.code
             )
 
-    def welcome(self, request):
+    def register_applicant(self, request):
         """Register a new replica that announces itself; return the members.
 
         An invalid address is rejected here. Once in the log, every replica
@@ -260,7 +260,7 @@
             leader=core.identity,
             applicants=tuple(applicant for applicant, _ in fresh.values()),
             caught_up=frozenset(one for one in others if core.has_caught_up(one)),
-            silent=frozenset(
+            not_responding=frozenset(
                 one
                 for one in others
                 if now - self.last_response_by_identity.get(one, self.leader_since)
--- a/hingepitch/control/message.py
+++ b/hingepitch/control/message.py
@@ -217,13 +217,13 @@
 class Append:
     """Make entries durable, replacing the log from the first of them on.
 
-    `is_ahead`
+    `is_async`
         The entries are a leader's own. Later actions need not wait for the
         disk, provided that `Durable` tells the core when they are stored.
     """
 
     entries: tuple[Entry, ...]
-    is_ahead: bool = False
+    is_async: bool = False
 
 
 @dataclass(frozen=True, slots=True)
--- a/hingepitch/control/operator.py
+++ b/hingepitch/control/operator.py
@@ -18,10 +18,10 @@
 from hingepitch.httpd import make_api
 from hingepitch.jobs.explain import QUEUED_JOB, explain_queued_job
 from hingepitch.model import explain
-from hingepitch.model.border import parse_object
 from hingepitch.model.codec import to_plain
 from hingepitch.model.command import CancelJobs, Delete, Envelope, Role
 from hingepitch.model.record import RECORD_BY_KIND
+from hingepitch.model.validation import parse_object
 from hingepitch.setting import Name, Settings, hash_token, validate_faults
 
 __all__ = ["Authenticator", "CommandForm", "OperatorApi"]
@@ -206,7 +206,7 @@
         deadline = lease_seconds() + LONGEST_WAIT_SECONDS
         state = self.replica.state
         while state.feed_by_name["planning"].version <= after:
-            if not self.replica.wait_change(deadline - lease_seconds()):
+            if not self.replica.wait_for_change(deadline - lease_seconds()):
                 break
             state = self.replica.state
         version, full, changes = state.changes_since("planning", after)
--- a/hingepitch/control/program.py
+++ b/hingepitch/control/program.py
@@ -16,7 +16,7 @@
 from hingepitch.cmdline import run_command
 from hingepitch.control.audit import AuditTrail
 from hingepitch.control.handler import ControlHandler
-from hingepitch.control.healing import GroupKeeper
+from hingepitch.control.healing import GroupReconciler
 from hingepitch.control.member import MemberChanger
 from hingepitch.control.message import Member
 from hingepitch.control.peer import PeerLinks
@@ -75,7 +75,7 @@
         self.group = GroupClient(
             self.book.addresses(), settings.name, settings.shared_key
         )
-        self.keeper = GroupKeeper(
+        self.keeper = GroupReconciler(
             self.replica,
             self.book,
             self.make_group(KEEPER_CALL_SECONDS),
@@ -122,7 +122,7 @@
         self.listen("http", self.http)
         self.replica.open_when_possible(self.stopping)
         self.supervisor.start("replica", self.replica.run)
-        self.supervisor.start("log writer", self.replica.write_ahead)
+        self.supervisor.start("log writer", self.replica.write_in_background)
         self.supervisor.start("ticks", self.replica.tick)
         self.supervisor.start("book", self.keep_book)
         self.supervisor.start("announcer", self.keeper.announce)
--- a/hingepitch/control/replica.py
+++ b/hingepitch/control/replica.py
@@ -68,7 +68,7 @@
 
 #: How long a starting replica waits for another process to release the lock of
 #: its data folder, in seconds: longer than the 6 s from SIGTERM to SIGKILL.
-LOCKED_SECONDS = 10.0
+LOCK_WAIT_SECONDS = 10.0
 
 #: How long commands may be collected into one batch while the leader's disk is
 #: writing, in seconds. A sync takes 4 to 9 ms.
@@ -78,9 +78,9 @@
 #: number of entries before a snapshot that stay in memory. The maximum bounds
 #: the start: a replica replays about 7,000 entries a second, and a new leader
 #: issues no orders before it has done so.
-SNAPSHOT_EVERY = 1024
-SNAPSHOT_EVERY_AT_MOST = 2048
-KEEP_BEHIND_SNAPSHOT = 1024
+MIN_SNAPSHOT_ENTRIES = 1024
+MAX_SNAPSHOT_ENTRIES = 2048
+ENTRIES_KEPT_BEHIND_SNAPSHOT = 1024
 
 
 def is_snapshot_due(entries, log_bytes, snapshot_bytes):
@@ -92,15 +92,15 @@
     `snapshot_bytes`
         Size of the last snapshot.
     """
-    if entries < SNAPSHOT_EVERY:
+    if entries < MIN_SNAPSHOT_ENTRIES:
         return False
-    return log_bytes >= snapshot_bytes or entries >= SNAPSHOT_EVERY_AT_MOST
+    return log_bytes >= snapshot_bytes or entries >= MAX_SNAPSHOT_ENTRIES
 
 
 def requires_sync(action):
     """Whether an action must be durable before the next one is executed."""
     if isinstance(action, Append):
-        return not action.is_ahead
+        return not action.is_async
     return isinstance(action, SaveVote | Install)
 
 
@@ -169,7 +169,7 @@
 
         Raises `HingepitchError` (`folder_locked`).
         """
-        locked_until = lease_seconds() + LOCKED_SECONDS
+        locked_until = lease_seconds() + LOCK_WAIT_SECONDS
         while not stopping.is_set():
             try:
                 self.open()
@@ -236,7 +236,7 @@
             self.writer.check()
             self.handle_events()
 
-    def write_ahead(self):
+    def write_in_background(self):
         """Write a leader's entries concurrently with the event loop, until killed."""
         while True:
             try:
@@ -378,11 +378,11 @@
         deadline = lease_seconds() + seconds
         self.check_read()
         while self.applied_index < index:
-            if not self.wait_change(deadline - lease_seconds()):
+            if not self.wait_for_change(deadline - lease_seconds()):
                 raise HingepitchError("lost_leadership", "not applied before timeout")
             self.check_read()
 
-    def wait_change(self, seconds):
+    def wait_for_change(self, seconds):
         """Wait for a change of the state; return False on timeout."""
         return seconds > 0 and self.changed.wait(seconds)
 
@@ -464,7 +464,7 @@
                 self.install(action)
         self.writer.write(vote, entries)
         for action in actions:
-            if isinstance(action, Append) and action.is_ahead:
+            if isinstance(action, Append) and action.is_async:
                 last = action.entries[-1]
                 self.put(Durable(last.index, last.term))
 
@@ -636,7 +636,7 @@
         later = self.core.log.last_index - self.applied_index
         entries = self.core.log.after(self.applied_index, later)
         self.storage.save_snapshot(snapshot, entries)
-        self.core.compact(self.applied_index - KEEP_BEHIND_SNAPSHOT)
+        self.core.compact(self.applied_index - ENTRIES_KEPT_BEHIND_SNAPSHOT)
         log_event("snapshot_written", index=self.applied_index)
 
     def make_snapshot(self):
--- a/hingepitch/entry/balance.py
+++ b/hingepitch/entry/balance.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from hingepitch.clock import lease_seconds
-from hingepitch.model.record import Life
+from hingepitch.model.record import VmLifecycle
 
 __all__ = ["Balancer", "MinionHealth"]
 
@@ -135,7 +135,7 @@
             live = tuple(
                 (vm, self.health(service, vm.name))
                 for vm in state.minions(service)
-                if vm.life is Life.LIVE
+                if vm.life is VmLifecycle.LIVE
             )
             self.live_by_service[service.name] = (state.version, live)
         return live
--- a/hingepitch/entry/follower.py
+++ b/hingepitch/entry/follower.py
@@ -79,7 +79,7 @@
             raise HingepitchError("stale_version", "the group is behind this entry")
         if changes.version > self.version or changes.full:
             objects = self.read_changes(changes)
-            self.state.follow(objects, changes.version, changes.full)
+            self.state.apply_changes(objects, changes.version, changes.full)
             self.version = changes.version
             log_event("version_applied", version=self.version)
         self.lease_until = sent_at + changes.lease_ms / 1000
--- a/hingepitch/entry/proxy.py
+++ b/hingepitch/entry/proxy.py
@@ -13,7 +13,7 @@
 from hingepitch.clock import lease_seconds
 from hingepitch.entry.limit import MIN_QUEUE, QUEUE_PER_SLOT, RetryBudget, SlotQueue
 from hingepitch.exchange import MinionConnections
-from hingepitch.model.record import Life
+from hingepitch.model.record import VmLifecycle
 from hingepitch.request import Answer, Failure, Run
 
 __all__ = ["Proxy"]
@@ -53,7 +53,7 @@
         slots = sum(
             service.slots
             for vm in self.proxy.follower.state.minions(service)
-            if vm.life is Life.LIVE
+            if vm.life is VmLifecycle.LIVE
         )
         return max(MIN_QUEUE, slots * QUEUE_PER_SLOT)
 
--- a/hingepitch/group.py
+++ b/hingepitch/group.py
@@ -21,7 +21,7 @@
 PAUSE_SECONDS = 0.05
 
 #: Codes after which another replica may be asked the same thing.
-PASSING_CODES = frozenset(
+TRANSIENT_CODES = frozenset(
     (
         "not_leader",
         "no_leader",
@@ -99,7 +99,7 @@
             self.note_leader(address)
             return answer
         except HingepitchError as error:
-            if error.code in PASSING_CODES:
+            if error.code in TRANSIENT_CODES:
                 self.note_no_leader(address, error)
                 self.prefer_another(address, getattr(error, "leader", ""))
             raise
@@ -157,7 +157,7 @@
             try:
                 return self.call_once(method, *arguments)
             except HingepitchError as error:
-                if error.code not in PASSING_CODES or lease_seconds() > deadline:
+                if error.code not in TRANSIENT_CODES or lease_seconds() > deadline:
                     raise
             gevent.sleep(PAUSE_SECONDS)
 
--- a/hingepitch/jobs/agent.py
+++ b/hingepitch/jobs/agent.py
@@ -16,8 +16,7 @@
 from gevent.lock import BoundedSemaphore
 
 from hingepitch.clock import lease_seconds
-from hingepitch.jobs.answer import AnswerTime
-from hingepitch.jobs.blame import is_proven, is_starting
+from hingepitch.jobs.blame import is_stable, is_starting
 from hingepitch.jobs.cause import EndCause
 from hingepitch.jobs.command import RunEnd
 from hingepitch.jobs.contact import (
@@ -28,10 +27,11 @@
     StopOrder,
 )
 from hingepitch.jobs.health import MinionHealth
-from hingepitch.jobs.look import UNCONFIRMED_SECONDS, LookDesk
 from hingepitch.jobs.offset import ClockOffset
+from hingepitch.jobs.poller import UNCONFIRMED_SECONDS, StatusPoller
 from hingepitch.jobs.record import RunResult
-from hingepitch.jobs.renewal import RenewalBook
+from hingepitch.jobs.renewal import RenewalHistory
+from hingepitch.jobs.replytime import ReplyTime
 from hingepitch.jobs.runview import RunView, RunViewStatus
 from hingepitch.log import log_event
 
@@ -63,12 +63,12 @@
         The `Minion` record of the incarnation.
     `client`
         Has `start`, `stop`, `pace` and `look`, each with a timeout.
-    `met_at`, `heard_at`, `beat_at`
+    `first_seen_at`, `last_message_at`, `last_heartbeat_at`
         When this leadership first knew the incarnation, last received a message
         from it, and last received a heartbeat; on `lease_seconds`.
-    `silent_since`
+    `unresponsive_since`
         When it last became unresponsive; 0 if never.
-    `lease_over_at`
+    `lease_expired_at`
         When the lease is confirmed to have expired; on `lease_seconds`.
     `session`
         The `Session` of the leadership: supplies the fencing token of orders and
@@ -83,19 +83,19 @@
         self.wake = Event()
         self.orders = BoundedSemaphore(ORDERS_AT_ONCE)
         self.clock_offset = ClockOffset(session.terms.drift)
-        self.lease_over_at = session.started_at + session.lease_until_over_seconds
-        self.renewals = RenewalBook()
-        self.answer_time = AnswerTime()
-        self.met_at = lease_seconds()
-        self.heard_at = 0.0
-        self.beat_at = 0.0
-        self.silent_since = 0.0
+        self.lease_expired_at = session.started_at + session.confirmed_expiry_seconds
+        self.renewals = RenewalHistory()
+        self.reply_time = ReplyTime()
+        self.first_seen_at = lease_seconds()
+        self.last_message_at = 0.0
+        self.last_heartbeat_at = 0.0
+        self.unresponsive_since = 0.0
         self.placement_paused_until = 0.0
         self.filler_percent = 100
         self.health = MinionHealth()
-        self.looks = LookDesk(self)
+        self.looks = StatusPoller(self)
         self.is_gone = False
-        self.is_silent = False
+        self.is_unresponsive = False
         self.greenlets = set()
 
     def start(self):
@@ -118,9 +118,9 @@
         gevent.killall(list(self.greenlets), block=False)
         self.client.close()
 
-    def note_beat(self, clock_ms):
+    def note_heartbeat(self, clock_ms):
         """Note a heartbeat; `clock_ms` is the minion's clock, or None."""
-        self.heard_at = self.beat_at = lease_seconds()
+        self.last_message_at = self.last_heartbeat_at = lease_seconds()
         if clock_ms is not None:
             self.note_clock(clock_ms)
 
@@ -143,10 +143,10 @@
         """Whether new runs may be placed on this minion."""
         return (
             not self.is_gone
-            and not self.is_silent
+            and not self.is_unresponsive
             and now >= self.placement_paused_until
-            and not self.health.is_sick(now)
-            and now - self.heard_at < self.session.silence_seconds
+            and not self.health.is_unhealthy(now)
+            and now - self.last_message_at < self.session.silence_timeout_seconds
             and self.clock_offset_ms is not None
             and all(
                 view.status is not RunViewStatus.INHERITED
@@ -154,9 +154,9 @@
             )
         )
 
-    def has_lapsed(self, now):
+    def is_lease_expired(self, now):
         """Whether the minion is unresponsive and its lease is confirmed expired."""
-        return self.is_silent and now >= self.lease_over_at
+        return self.is_unresponsive and now >= self.lease_expired_at
 
     def is_starting(self, run):
         """Whether a run is too young to tell if it works, or not known here."""
@@ -165,15 +165,15 @@
             return True
         return is_starting(view, lease_seconds())
 
-    def is_proven(self, run):
+    def is_stable(self, run):
         """Whether a run has worked long enough not to be suspected of a crash."""
         view = self.view_by_task.get(run.task)
         step = self.session.step_of(run)
         if view is None or view.run is not run or step is None:
             return False
-        return is_proven(view, step, lease_seconds())
+        return is_stable(view, step, lease_seconds())
 
-    def set_aside(self, seconds=PLACEMENT_PAUSE_SECONDS):
+    def pause_placement(self, seconds=PLACEMENT_PAUSE_SECONDS):
         """Place no new runs on this minion for the given time."""
         self.placement_paused_until = lease_seconds() + seconds
 
@@ -213,7 +213,7 @@
             return
         if (
             view.status is RunViewStatus.UNSURE
-            and self.looks.looked_at <= view.answered_at
+            and self.looks.polled_at <= view.answered_at
         ):
             return
         wanted = self.session.is_wanted(view.run)
@@ -246,7 +246,7 @@
         """Order the start of a run and set its status from the reply."""
         # A start would extend the lease of an unresponsive minion.
         order = None
-        if not self.is_silent:
+        if not self.is_unresponsive:
             order = self.session.start_order(view.run, self.lease_until_ms())
         if order is None:
             self.end(view, RunResult.REFUSED, EndCause.NOT_ORDERED)
@@ -272,7 +272,7 @@
             view.answered_at = lease_seconds()
             self.looks.wake.set()
         else:
-            self.set_aside()
+            self.pause_placement()
             self.end(view, RunResult.REFUSED, EndCause.REFUSED)
 
     def ask_start(self, view, order):
@@ -285,7 +285,7 @@
         first = gevent.spawn(self.timed, self.client.start, order)
         calls = [first]
         try:
-            first.join(self.answer_time.limit_seconds)
+            first.join(self.reply_time.timeout_seconds)
             if first.ready() and first.get().kind is not ReplyKind.UNSURE:
                 return first.get()
             if not self.may_repeat(view):
@@ -312,7 +312,7 @@
         sent_at = lease_seconds()
         reply = call(order, ANSWER_SECONDS)
         if reply.kind not in (ReplyKind.UNSURE, ReplyKind.NOT_SENT):
-            self.answer_time.note(lease_seconds() - sent_at)
+            self.reply_time.note(lease_seconds() - sent_at)
         return reply
 
     def order_stop(self, view):
@@ -372,24 +372,24 @@
             )
             return
         self.note_silence(False)
-        self.heard_at = lease_seconds()
+        self.last_message_at = lease_seconds()
         if reply.clock_ms is not None:
             self.note_clock(reply.clock_ms, asked_at)
         if reply.kind is ReplyKind.FENCED:
             self.session.fenced(self.minion.id)
 
-    def note_silence(self, is_silent):
+    def note_silence(self, is_unresponsive):
         """Note whether the minion is unresponsive; log a change if it has runs."""
-        if is_silent != self.is_silent and self.view_by_task:
+        if is_unresponsive != self.is_unresponsive and self.view_by_task:
             log_event(
-                "minion_silent" if is_silent else "minion_answers",
+                "minion_silent" if is_unresponsive else "minion_answers",
                 minion=self.minion.id,
                 runs=len(self.view_by_task),
-                lease_left=round(self.lease_over_at - lease_seconds(), 1),
+                lease_left=round(self.lease_expired_at - lease_seconds(), 1),
             )
-        if is_silent and not self.is_silent:
-            self.silent_since = lease_seconds()
-        self.is_silent = is_silent
+        if is_unresponsive and not self.is_unresponsive:
+            self.unresponsive_since = lease_seconds()
+        self.is_unresponsive = is_unresponsive
 
     def end(self, view, result, cause, checkpoint=""):
         """Record that a run has ended, with the `EndCause`."""
@@ -404,5 +404,5 @@
 
     def extend_lease(self):
         """Put off the confirmed expiry, as a call in flight may extend the lease."""
-        until = lease_seconds() + self.session.lease_until_over_seconds
-        self.lease_over_at = max(self.lease_over_at, until)
+        until = lease_seconds() + self.session.confirmed_expiry_seconds
+        self.lease_expired_at = max(self.lease_expired_at, until)
--- a/hingepitch/jobs/agentbook.py
+++ b/hingepitch/jobs/agentregistry.py
@@ -1,6 +1,6 @@
 """
-hingepitch.jobs.agentbook
-~~~~~~~~~~~~~~~~~~~~~~~~~
+hingepitch.jobs.agentregistry
+~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
 Registry of the agents of one leadership: one for each incarnation of a minion
 whose address can be called.
@@ -12,8 +12,8 @@
 import gevent
 
 from hingepitch.jobs.agent import Agent
-from hingepitch.jobs.answer import MOST_SECONDS
-from hingepitch.jobs.contact import LookOrder, ReplyKind
+from hingepitch.jobs.contact import PollOrder, ReplyKind
+from hingepitch.jobs.replytime import MAX_TIMEOUT_SECONDS
 from hingepitch.log import log_event
 
 __all__ = ["AgentRegistry"]
@@ -43,7 +43,7 @@
         self.by_minion = {}
         self.uncallable = {}
 
-    def match(self):
+    def reconcile(self):
         """Start and stop agents to match the table; wake those whose runs changed."""
         table = self.session.table
         for minion_id, agent in list(self.by_minion.items()):
@@ -51,15 +51,15 @@
                 agent.stop()
                 del self.by_minion[minion_id]
         for minion_id, minion in list(table.minion_by_id.items()):
-            agent = self.by_minion.get(minion_id) or self.meet(minion)
+            agent = self.by_minion.get(minion_id) or self.start_agent(minion)
             if agent is not None:
                 agent.minion = minion
-        for minion_id in table.touched_minions:
+        for minion_id in table.changed_minions:
             if minion_id in self.by_minion:
                 self.by_minion[minion_id].wake.set()
-        table.touched_minions.clear()
+        table.changed_minions.clear()
 
-    def meet(self, minion):
+    def start_agent(self, minion):
         """Start and return the agent of a minion; return None if it is uncallable.
 
         The address is not trusted, as the record may come from another writer: an
@@ -91,7 +91,7 @@
         forever.
         """
         while True:
-            gevent.sleep(self.session.lease_until_over_seconds)
+            gevent.sleep(self.session.confirmed_expiry_seconds)
             recorded = self.session.table.minion_by_id.get(minion.id)
             if recorded is None or recorded.address != minion.address:
                 return
@@ -103,7 +103,7 @@
         if client is None:
             return False
         try:
-            look = client.look(LookOrder(self.session.fence, 0), MOST_SECONDS)
+            look = client.look(PollOrder(self.session.fence, 0), MAX_TIMEOUT_SECONDS)
         finally:
             client.close()
         return look.reply.kind in PRESENT_KINDS
--- a/hingepitch/jobs/blame.py
+++ b/hingepitch/jobs/blame.py
@@ -16,11 +16,11 @@
 
 __all__ = [
     "blame_of",
-    "is_proven",
+    "is_stable",
     "is_starting",
     "log_crash",
-    "log_given_up",
-    "unseen_blame",
+    "log_abandoned_jobs",
+    "unobserved_blame",
 ]
 
 #: A run observed for this long after its start, in seconds, has not crashed its
@@ -56,7 +56,7 @@
     return not view.begun_at or now - view.begun_at < SETTLE_SECONDS
 
 
-def is_proven(view, step, now):
+def is_stable(view, step, now):
     """Whether a long-running task has been running for `STABLE_SECONDS`."""
     return step.lasts and view.begun_at and now - view.begun_at >= STABLE_SECONDS
 
@@ -78,12 +78,12 @@
     fallen = count_simultaneous_losses(agent, agents)
     if has_common_cause(agent, agents, fallen):
         return Blame(tasks_of(exposed))
-    starting = [view for view in exposed if is_starting(view, agent.heard_at)]
+    starting = [view for view in exposed if is_starting(view, agent.last_message_at)]
     alone = [] if fallen else only_suspects(agent, exposed)
     return Blame(tasks_of(exposed), tasks_of(starting), tasks_of(alone))
 
 
-def unseen_blame(table, life):
+def unobserved_blame(table, life):
     """Return the `Blame`, with all runs, for an incarnation without an agent."""
     runs = table.runs_by_minion.get(life, {})
     minion = table.minion_by_id.get(life)
@@ -108,7 +108,7 @@
         return True
     if not view.begun_at:
         return now_ms - view.run.started_ms < 2 * STABLE_SECONDS * 1000
-    return not is_proven(view, step, agent.heard_at)
+    return not is_stable(view, step, agent.last_message_at)
 
 
 def count_simultaneous_losses(agent, agents):
@@ -119,12 +119,14 @@
     single task can be suspected alone: each minion may have had a task that had
     just started.
     """
-    detection_seconds = min(agent.silent_since - agent.heard_at, MAX_DETECTION_SECONDS)
+    detection_seconds = min(
+        agent.unresponsive_since - agent.last_message_at, MAX_DETECTION_SECONDS
+    )
     margin = detection_seconds + SIMULTANEITY_SECONDS
     return sum(
         other is not agent
         and other.minion.pool == agent.minion.pool
-        and abs(other.silent_since - agent.silent_since) <= margin
+        and abs(other.unresponsive_since - agent.unresponsive_since) <= margin
         for other in agents
     )
 
@@ -147,7 +149,7 @@
     minions also crash for other reasons.
     """
     crashes = agent.session.table.crashes
-    starting = [view for view in exposed if is_starting(view, agent.heard_at)]
+    starting = [view for view in exposed if is_starting(view, agent.last_message_at)]
     isolated = [
         view
         for view in exposed
@@ -181,7 +183,7 @@
     return " ".join(map(format_task, tasks[:LISTED_TASKS]))
 
 
-def log_given_up(table, life, blame):
+def log_abandoned_jobs(table, life, blame):
     """Log the jobs that failed because of the crash of a minion."""
     for job_id in {task.job for task in blame.exposed}:
         job = table.job_by_id.get(job_id)
--- a/hingepitch/jobs/client.py
+++ b/hingepitch/jobs/client.py
@@ -37,7 +37,7 @@
 
 #: Harmless codes that are transient: another replica, or the same one a little
 #: later, may accept the request.
-PASSING_CODES = frozenset(("not_leader", "no_leader", "peer_unreachable"))
+TRANSIENT_CODES = frozenset(("not_leader", "no_leader", "peer_unreachable"))
 
 RETRY_AFTER_MS = 1000
 
@@ -82,7 +82,7 @@
                 may_be_applied = may_be_applied or error.code in UNKNOWN_OUTCOME_CODES
                 limit = seconds if may_be_applied else leaderless_seconds
                 is_transient = (
-                    error.code in PASSING_CODES or error.code in UNKNOWN_OUTCOME_CODES
+                    error.code in TRANSIENT_CODES or error.code in UNKNOWN_OUTCOME_CODES
                 )
                 if not is_transient or lease_seconds() - began > limit:
                     raise self.final_error(error, may_be_applied) from None
@@ -98,6 +98,6 @@
         """Return the error to raise to the caller after the last attempt."""
         if may_be_applied and error.code in UNAPPLIED_CODES | UNKNOWN_OUTCOME_CODES:
             return HingepitchError("deadline_passed", error.detail)
-        if error.code in PASSING_CODES:
+        if error.code in TRANSIENT_CODES:
             return HingepitchError("no_leader", "", RETRY_AFTER_MS)
         return error
--- a/hingepitch/jobs/contact.py
+++ b/hingepitch/jobs/contact.py
@@ -18,8 +18,8 @@
 
 __all__ = [
     "EndedRun",
-    "Look",
-    "LookOrder",
+    "PollResult",
+    "PollOrder",
     "PaceOrder",
     "Reply",
     "ReplyKind",
@@ -119,12 +119,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LookOrder:
+class PollOrder:
     """Status poll: order to list running and ended runs and to renew the lease.
 
     `lease_until_ms`
         Lease expiry on the minion's clock; None does not renew the lease.
-    `ends_taken`
+    `ends_recorded`
         The ends up to this sequence number are recorded; the minion may forget
         them.
     `wait_ms`
@@ -132,7 +132,7 @@
     """
 
     fence: int
-    ends_taken: int
+    ends_recorded: int
     lease_until_ms: int | None = None
     wait_ms: int = 0
 
@@ -165,8 +165,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Look:
-    """Result of a `LookOrder`; the lists are empty unless the reply is `DONE`.
+class PollResult:
+    """Result of a `PollOrder`; the lists are empty unless the reply is `DONE`.
 
     `unread_running`, `unread_ended`
         Number of rows that could not be decoded. While `unread_running` is not
--- a/hingepitch/jobs/crash.py
+++ b/hingepitch/jobs/crash.py
@@ -16,7 +16,14 @@
 
 from hingepitch.jobs.spec import TaskKey
 
-__all__ = ["NO_BLAME", "Blame", "CrashBook", "CrashRecord", "LifeBlame", "Suspicion"]
+__all__ = [
+    "NO_BLAME",
+    "Blame",
+    "CrashRegistry",
+    "CrashRecord",
+    "LifeBlame",
+    "Suspicion",
+]
 
 #: The job of a task fails after `MAX_CRASHES_ALONE` crashes on different VMs
 #: that only this task can have caused: the first may be a coincidence, the second
@@ -120,7 +127,7 @@
 NO_CRASHES = CrashRecord(TaskKey("", 0, 0, 0))
 
 
-class CrashBook:
+class CrashRegistry:
     """The minion crashes under the tasks of open jobs.
 
     `by_job`
@@ -201,16 +208,16 @@
 
         A `blame` without exposed tasks withdraws the suspicion stored before.
         """
-        before = self.acquit(life)
+        before = self.clear_suspicion(life)
         if not blame.exposed:
             return
         blame = before.merged(blame)
         self.blame_by_life[life] = blame
         self.silent_exposed.update(blame.exposed)
         while len(self.blame_by_life) > MAX_SILENT_LIVES:
-            self.acquit(next(iter(self.blame_by_life)))
+            self.clear_suspicion(next(iter(self.blame_by_life)))
 
-    def acquit(self, life):
+    def clear_suspicion(self, life):
         """Remove and return the stored `Blame` of an unresponsive incarnation."""
         blame = self.blame_by_life.pop(life, NO_BLAME)
         self.silent_exposed -= Counter(blame.exposed)
--- a/hingepitch/jobs/demand.py
+++ b/hingepitch/jobs/demand.py
@@ -69,7 +69,7 @@
 
     def is_known(self, now):
         """Whether work has been seen for long enough to release idle VMs."""
-        if self.worked_since is None and self.session.table.has_had_work:
+        if self.worked_since is None and self.session.table.has_seen_batch_job:
             self.worked_since = now
         return (
             self.worked_since is not None and now - self.worked_since > LEARNING_SECONDS
@@ -87,7 +87,7 @@
                 continue
             queue = table.policy(job)
             rate = self.rate_by_pool.setdefault(queue.pool, ArrivalRate())
-            expected_ms = self.session.durations.of_queue(queue.place)
+            expected_ms = self.session.durations.queue_estimator(queue.route)
             rate.note(work_core_ms(job.spec, expected_ms), now)
 
     def arriving(self, pool, now):
--- a/hingepitch/jobs/dispatch.py
+++ b/hingepitch/jobs/dispatch.py
@@ -11,7 +11,7 @@
 import gevent
 
 from hingepitch.error import HingepitchError
-from hingepitch.jobs.blame import unseen_blame
+from hingepitch.jobs.blame import unobserved_blame
 from hingepitch.jobs.session import Session
 from hingepitch.log import log_event
 from hingepitch.metric import Metrics
@@ -55,8 +55,8 @@
         self.adviser = adviser
         self.metrics = metrics or Metrics("dispatch")
         self.session = None
-        roster.on_beat = self.note_beat
-        roster.on_crash = self.take_blame
+        roster.on_heartbeat = self.note_heartbeat
+        roster.on_crash = self.blame_for
         roster.is_present = self.is_present
 
     def run(self):
@@ -101,19 +101,19 @@
             self.session = None
             self.roster.clear()
 
-    def note_beat(self, minion_id, clock_ms):
+    def note_heartbeat(self, minion_id, clock_ms):
         """Pass a heartbeat on to the current session, if there is one."""
         if self.session is not None:
-            self.session.note_beat(minion_id, clock_ms)
+            self.session.note_heartbeat(minion_id, clock_ms)
 
-    def take_blame(self, life):
+    def blame_for(self, life):
         """Return the `Blame` for an incarnation that has ended.
 
         Without a session nothing has been observed of its runs, so the `Blame`
         rests on the job table alone.
         """
         if self.session is None:
-            return unseen_blame(self.replica.state.jobs, life)
+            return unobserved_blame(self.replica.state.jobs, life)
         blame = self.session.blame(life)
         self.session.gauge.note_crash(blame)
         return blame
--- a/hingepitch/jobs/due.py
+++ b/hingepitch/jobs/due.py
@@ -10,7 +10,7 @@
 
 from math import exp
 
-from hingepitch.jobs.spec import chain_from_ms, longest_chain_ms
+from hingepitch.jobs.spec import critical_path_from_ms, critical_path_ms
 
 __all__ = ["due_ms", "is_late"]
 
@@ -33,7 +33,7 @@
     `durations`
         The run time estimates, a `Durations`.
     """
-    chain = longest_chain_ms(job.spec.steps, durations.of_queue(policy.place))
+    chain = critical_path_ms(job.spec.steps, durations.queue_estimator(policy.route))
     begin = round_begin_ms(job, round_number)
     return begin + policy.objective_ms + policy.stretch * chain
 
@@ -49,10 +49,10 @@
     steps = job.spec.steps
     if steps[step_number].lasts:
         return False
-    expected_ms = durations.of_queue(policy.place)
-    left = chain_from_ms(steps, step_number, expected_ms)
-    slack_ms = policy.stretch * longest_chain_ms(steps, expected_ms) - left
+    expected_ms = durations.queue_estimator(policy.route)
+    left = critical_path_from_ms(steps, step_number, expected_ms)
+    slack_ms = policy.stretch * critical_path_ms(steps, expected_ms) - left
     used_slack_ms = now_ms - round_begin_ms(job, round_number) - policy.objective_ms
     return used_slack_ms > slack_ms * exp(
-        LATE_STANDARD_ERRORS * durations.error(policy.place)
+        LATE_STANDARD_ERRORS * durations.error(policy.route)
     )
--- a/hingepitch/jobs/duration.py
+++ b/hingepitch/jobs/duration.py
@@ -17,7 +17,7 @@
 
 #: Number of observed steps of a queue from which on its estimates are corrected.
 #: Source: the error of a mean of eight is a third of the standard deviation.
-STEPS_TO_LEARN = 8.0
+MIN_OBSERVED_STEPS = 8.0
 
 #: Factor by which each new step reduces the weight of earlier observations.
 #: Source: half of the weight lies in the last 70 steps, so the fit follows a
@@ -69,7 +69,7 @@
     `weight_since_fit`
         Weight observed since the last `refresh`.
     `line`
-        The current `Line`, or None before `STEPS_TO_LEARN` steps.
+        The current `Line`, or None before `MIN_OBSERVED_STEPS` steps.
     `expected_by_estimate`
         Cache of expected times, valid until the next `refresh`: a planning pass
         asks for the same few estimates repeatedly.
@@ -107,7 +107,7 @@
         """Clear the cache, and fit the line again if enough steps were observed."""
         self.weight_since_fit = 0.0
         self.expected_by_estimate.clear()
-        if self.weight >= STEPS_TO_LEARN:
+        if self.weight >= MIN_OBSERVED_STEPS:
             self.line = self.fit_line()
 
     def fit_line(self):
@@ -157,25 +157,25 @@
     def __init__(self):
         self.fit_by_place = {}
 
-    def note(self, place, step, took_ms):
+    def note(self, route, step, took_ms):
         """Record how long one task of `step` ran, from its start to its end."""
         if step.lasts or step.estimate_ms <= 0 or took_ms <= 0:
             return
-        fit = self.fit_by_place.setdefault(place, Fit())
+        fit = self.fit_by_place.setdefault(route, Fit())
         fit.note(step.estimate_ms, took_ms, 1 / step.count)
 
-    def expected_ms(self, place, step):
+    def expected_ms(self, route, step):
         """Return the expected run time of a task of `step`, in milliseconds."""
-        fit = self.fit_by_place.get(place)
+        fit = self.fit_by_place.get(route)
         if fit is None or step.estimate_ms <= 0:
             return step.estimate_ms
         return fit.expected_ms(step.estimate_ms)
 
-    def error(self, place):
+    def error(self, route):
         """Return the standard error of the logarithm of a queue's expected times."""
-        fit = self.fit_by_place.get(place)
+        fit = self.fit_by_place.get(route)
         return fit.error() if fit is not None else INITIAL_ERROR
 
-    def of_queue(self, place):
+    def queue_estimator(self, route):
         """Return a function from a step of a queue to its expected run time."""
-        return partial(self.expected_ms, place)
+        return partial(self.expected_ms, route)
--- a/hingepitch/jobs/gauge.py
+++ b/hingepitch/jobs/gauge.py
@@ -12,7 +12,7 @@
 
 from hingepitch.clock import wall_ms
 from hingepitch.jobs.contact import ReplyKind
-from hingepitch.jobs.crash import CrashBook
+from hingepitch.jobs.crash import CrashRegistry
 from hingepitch.jobs.record import TaskStatus
 from hingepitch.jobs.runview import RunViewStatus
 
@@ -159,7 +159,7 @@
         """Set all gauges to 0, since this process no longer leads."""
         self.note_minions((), 0.0)
         self.show_waiting(Counter())
-        self.note_suspects(CrashBook())
+        self.note_suspects(CrashRegistry())
 
     def observe_since(self, name, job, at_ms, **labels):
         """Record the time from a job's acceptance until `at_ms` since the epoch."""
@@ -169,8 +169,8 @@
 
 def minion_state(agent, now):
     """Return the state of the minion of `agent`, one of `MINION_STATES`."""
-    if agent.is_silent:
+    if agent.is_unresponsive:
         return "silent"
-    if agent.health.is_sick(now):
+    if agent.health.is_unhealthy(now):
         return "sick"
     return "usable" if agent.may_start(now) else "unused"
--- a/hingepitch/jobs/health.py
+++ b/hingepitch/jobs/health.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass, field
 
-__all__ = ["MinionHealth", "is_hung"]
+__all__ = ["MinionHealth", "is_stalled"]
 
 #: How long evidence counts, in seconds; then the minion is tried again.
 EVIDENCE_SECONDS = 10.0
@@ -19,29 +19,29 @@
 #: and from which it gets no runs unless a run has succeeded there since. A single
 #: job may fail on every minion by its own fault; three at once rarely do.
 AVOIDED_FROM_JOBS = 2
-SICK_FROM = 3
+EXCLUDED_FROM_JOBS = 3
 
 #: Time without progress after which a task counts as stalled, in seconds. It spans
 #: four status polls, in which even a long, slowed task advances by one percent.
-HUNG_SECONDS = 2.5
+STALL_SECONDS = 2.5
 
 #: The same for a gang member, which makes no progress until all members are
 #: present: longer than minions wait for the other members.
-HUNG_GANG_SECONDS = 4.5
+GANG_STALL_SECONDS = 4.5
 
 
-def is_hung(row_since, looked_at, gang=False, patience=1):
+def is_stalled(row_since, polled_at, gang=False, stall_factor=1):
     """Whether a task has stalled.
 
     `row_since`
         When its progress last changed.
-    `looked_at`
+    `polled_at`
         When the last status poll that listed it was sent.
-    `patience`
+    `stall_factor`
         Factor by which the stall timeout is extended.
     """
-    limit = HUNG_GANG_SECONDS if gang else HUNG_SECONDS
-    return looked_at - row_since > patience * limit
+    limit = GANG_STALL_SECONDS if gang else STALL_SECONDS
+    return polled_at - row_since > stall_factor * limit
 
 
 @dataclass(slots=True)
@@ -75,12 +75,12 @@
         self.trouble_at_by_job = fresh
         return len(fresh)
 
-    def doubt(self, now):
+    def avoidance(self, now):
         """Return 1.0 if the planner should avoid the minion, else 0.0."""
         return float(self.troubled_jobs(now) >= AVOIDED_FROM_JOBS)
 
-    def is_sick(self, now):
+    def is_unhealthy(self, now):
         """Whether the minion should get no new runs for now."""
-        if self.troubled_jobs(now) < SICK_FROM:
+        if self.troubled_jobs(now) < EXCLUDED_FROM_JOBS:
             return False
         return self.succeeded_at < max(self.trouble_at_by_job.values())
--- a/hingepitch/jobs/isolation.py
+++ b/hingepitch/jobs/isolation.py
@@ -15,7 +15,7 @@
 from hingepitch.jobs.record import TaskStatus
 from hingepitch.jobs.spec import TaskKey
 
-__all__ = ["Isolation", "SuspectView", "SuspectWaits", "suspect_view"]
+__all__ = ["Isolation", "SuspectView", "SuspectWaitTracker", "suspect_view"]
 
 #: Fraction of a pool's minions, at least one minion, that is reserved for
 #: suspected tasks while any of them wait.
@@ -47,7 +47,7 @@
     overdue: set = field(default_factory=set)
 
 
-class SuspectWaits:
+class SuspectWaitTracker:
     """Tracks how long suspected tasks have waited during one leadership.
 
     `now`
@@ -75,7 +75,7 @@
     """Keeps suspected tasks apart from others in one planning pass.
 
     `crashes`
-        The `CrashBook`.
+        The `CrashRegistry`.
     `view`
         A `SuspectView`; the pass adds the tasks that it starts.
     `gang_by_minion`
@@ -118,7 +118,7 @@
         return suspicion
 
     @property
-    def is_idle(self):
+    def is_inactive(self):
         """Whether there are no tasks to isolate."""
         return not self.crashes and not self.view.held
 
@@ -130,7 +130,7 @@
         others waiting.
         """
         job_id = step_key[0]
-        if self.is_idle or job_id not in self.crashes.jobs():
+        if self.is_inactive or job_id not in self.crashes.jobs():
             return indexes
         suspects = {
             task.index for task in self.crashes.suspects(job_id) if task[:3] == step_key
@@ -144,7 +144,7 @@
 
     def admitted(self, work, key, step, candidates):
         """Return the minions that isolation allows for a task, free capacity aside."""
-        if self.is_idle:
+        if self.is_inactive:
             return candidates
         if self.suspicion(key):
             return self.admitted_suspect(key, step, candidates)
@@ -199,7 +199,7 @@
 
     def note_start(self, key, step, minion):
         """Record that the pass starts a task on a minion."""
-        if self.is_idle:
+        if self.is_inactive:
             return
         if not self.suspicion(key):
             self.view.starting.add(minion.id)
@@ -249,5 +249,5 @@
         view.starting_jobs.add(run.task.job)
         view.held.add(run.minion)
     suspicion = session.table.crashes.suspicion(run.task)
-    if suspicion >= Suspicion.RUNNING and not agent.is_proven(run):
+    if suspicion >= Suspicion.RUNNING and not agent.is_stable(run):
         view.held.add(run.minion)
--- a/hingepitch/jobs/load.py
+++ b/hingepitch/jobs/load.py
@@ -12,7 +12,7 @@
 
 from hingepitch.jobs.due import is_late
 from hingepitch.jobs.record import TaskStatus
-from hingepitch.jobs.table import Room
+from hingepitch.jobs.table import ResourceUsage
 
 __all__ = ["PoolLoad", "measure_pools"]
 
@@ -50,7 +50,7 @@
     waiting_late: int = 0
     waiting_late_mb: int = 0
     spread: int = 0
-    largest: Room = field(default_factory=Room)
+    largest: ResourceUsage = field(default_factory=ResourceUsage)
 
     def can_hold(self, step):
         """Whether `step` needs no more than the `largest` minion resources."""
--- a/hingepitch/jobs/mover.py
+++ b/hingepitch/jobs/mover.py
@@ -21,7 +21,7 @@
 from hingepitch.jobs.pool import IdleVm, PoolView, plan_moves
 from hingepitch.log import log_event
 
-__all__ = ["MoveDesk"]
+__all__ = ["MoveController"]
 
 #: Longest time between two move decisions, in seconds.
 STEP_SECONDS = 0.1
@@ -41,7 +41,7 @@
 #: After a call without an answer, only the same move is ordered for the VM for
 #: this time, in seconds: the platform may still carry out the first call.
 #: Source: the platform carries out such calls up to 12 s late.
-UNSURE_SECONDS = 15.0
+UNKNOWN_OUTCOME_SECONDS = 15.0
 
 #: No other order for a VM for this time after the platform called it busy, in
 #: seconds: a tenth of the duration of a move, since such VMs are needed at once.
@@ -51,7 +51,7 @@
 LIST_SECONDS = 5.0
 
 
-class MoveDesk:
+class MoveController:
     """Plans and carries out the moves of VMs during one leadership.
 
     A move is first recorded in the log, then ordered from the platform.
@@ -70,7 +70,7 @@
         settles the move.
     `proposed_pool_by_vm`
         Target pools of the moves that are proposed but not yet committed.
-    `calling`
+    `vms_in_call`
         VMs with a call to the platform in progress.
     `done`
         Moves, as pairs of VM and pool, that the platform has confirmed.
@@ -80,7 +80,7 @@
         The kinds of VMs that were seen in each pool.
     `moved_at_by_vm`
         When the platform confirmed a move whose VM has not registered since.
-    `is_lacking`
+    `has_shortage`
         Whether a pool wants more VMs than it has, begun moves included.
     `wake`
         Event that is set when work arrives, to trigger a decision at once.
@@ -93,19 +93,19 @@
         self.move_seconds = move_seconds
         self.source_pool_by_vm = {}
         self.proposed_pool_by_vm = {}
-        self.calling = set()
+        self.vms_in_call = set()
         self.is_listing = False
         self.done = set()
         self.impossible = set()
         self.held_until_by_vm = {}
         self.idle_since_by_vm = {}
-        self.spare_vms = {}
+        self.spare_pool_by_vm = {}
         self.kind_by_vm = {}
         self.kinds_by_pool = defaultdict(set)
         self.moved_at_by_vm = {}
         self.listed_at = 0.0
         self.wake = Event()
-        self.is_lacking = False
+        self.has_shortage = False
         self.demand = Demand(session, terms)
         self.gather_seconds = GATHER_SECONDS
 
@@ -135,15 +135,15 @@
             if (vm, pool) not in self.done:
                 self.call_once_at_a_time(vm, pool)
             elif self.is_overdue(vm, now):
-                self.session.spawn_apart("move", self.abandon, vm, pool)
+                self.session.spawn_guarded("move", self.abandon, vm, pool)
         self.done &= set(table.move_by_vm.items())
         views = list(self.views(config, now))
         is_known = self.demand.is_known(now)
         moves = plan_moves(views, self.terms, self.impossible, is_known)
         for move in list(moves):
             self.proposed_pool_by_vm[move.vm] = move.pool
-            self.session.spawn_apart("move", self.begin, move)
-        self.is_lacking = any(
+            self.session.spawn_guarded("move", self.begin, move)
+        self.has_shortage = any(
             view.wanted > view.present for view in views if not view.is_spare
         )
 
@@ -152,7 +152,7 @@
         if not self.is_listing and now - self.listed_at >= LIST_SECONDS:
             self.listed_at = now
             self.is_listing = True
-            self.session.spawn_apart("move", self.read_list)
+            self.session.spawn_guarded("move", self.read_list)
 
     def read_list(self):
         """Read the platform's VM list and update the spare VMs."""
@@ -161,9 +161,9 @@
         finally:
             self.is_listing = False
         if listed is not None:
-            self.take_list(listed.rows)
+            self.apply_vm_list(listed.rows)
 
-    def take_list(self, rows):
+    def apply_vm_list(self, rows):
         """Update the spare VMs and the kinds of all VMs from listed rows.
 
         A spare VM that is on hold stays spare, whatever the list says.
@@ -176,10 +176,10 @@
             self.kinds_by_pool[row.pool].add(row.kind)
         in_transit = {
             vm: pool
-            for vm, pool in self.spare_vms.items()
+            for vm, pool in self.spare_pool_by_vm.items()
             if lease_seconds() < self.held_until_by_vm.get(vm, 0.0)
         }
-        self.spare_vms = in_transit | {
+        self.spare_pool_by_vm = in_transit | {
             row.vm: row.pool
             for row in rows
             if row.pool in spare_pools
@@ -191,7 +191,7 @@
         """Yield a `PoolView` of each configured pool."""
         loads = self.session.measure_pools()
         in_upkeep = self.vms_in_upkeep()
-        taken = self.taken_vms(in_upkeep)
+        taken = self.unavailable_vms(in_upkeep)
         minions_by_pool = self.minions_by_pool()
         for pool in config.pools:
             load = loads.get(pool.name, PoolLoad())
@@ -235,7 +235,7 @@
         minions = (table.minion_by_id[life] for life in lives if life)
         return sum(minion.pool == pool for minion in minions)
 
-    def taken_vms(self, in_upkeep):
+    def unavailable_vms(self, in_upkeep):
         """Return the VMs that are moving, or in `in_upkeep`."""
         return in_upkeep.union(self.pool_by_moving_vm)
 
@@ -252,7 +252,7 @@
         """Return the VMs of those `minions` whose lease has expired."""
         agents = self.session.agent_by_minion
         pairs = ((one.vm, agents.get(one.id)) for one in minions)
-        return {vm for vm, agent in pairs if agent and agent.has_lapsed(now)}
+        return {vm for vm, agent in pairs if agent and agent.is_lease_expired(now)}
 
     def is_free(self, vm, taken, now):
         """Whether a VM is neither in `taken` nor on hold."""
@@ -260,7 +260,7 @@
 
     def idle_spare_vms(self, pool, taken, now):
         """Yield an `IdleVm` for each spare VM of a pool that is free."""
-        for vm, at in self.spare_vms.items():
+        for vm, at in self.spare_pool_by_vm.items():
             if at == pool and self.is_free(vm, taken, now):
                 yield IdleVm(vm, self.kind_by_vm.get(vm, ""), 0.0)
 
@@ -283,16 +283,16 @@
         finally:
             self.proposed_pool_by_vm.pop(move.vm, None)
         if is_recorded:
-            if move.vm in self.spare_vms:
-                self.source_pool_by_vm[move.vm] = self.spare_vms.pop(move.vm)
+            if move.vm in self.spare_pool_by_vm:
+                self.source_pool_by_vm[move.vm] = self.spare_pool_by_vm.pop(move.vm)
             self.call_once_at_a_time(move.vm, move.pool)
 
     def call_once_at_a_time(self, vm, pool):
         """Order a move, unless a call for the VM is in progress."""
-        if vm in self.calling:
+        if vm in self.vms_in_call:
             return
-        self.calling.add(vm)
-        self.session.spawn_apart("move", self.call, vm, pool)
+        self.vms_in_call.add(vm)
+        self.session.spawn_guarded("move", self.call, vm, pool)
 
     def call(self, vm, pool):
         """Order a move from the platform and record the outcome.
@@ -319,7 +319,7 @@
             )
             self.settle(vm, pool, life, reply)
         finally:
-            self.calling.discard(vm)
+            self.vms_in_call.discard(vm)
 
     def settle(self, vm, pool, life, reply):
         """Act on the platform's answer, and record it if it is final."""
@@ -332,11 +332,11 @@
             self.hold(vm, BUSY_SECONDS)
             self.session.propose(EndMove(vm))
             if vm in self.source_pool_by_vm:
-                self.spare_vms[vm] = self.source_pool_by_vm.pop(vm)
+                self.spare_pool_by_vm[vm] = self.source_pool_by_vm.pop(vm)
         elif reply is FleetReply.FENCED:
             self.session.fenced(vm)
         elif reply is FleetReply.UNSURE:
-            self.hold(vm, UNSURE_SECONDS)
+            self.hold(vm, UNKNOWN_OUTCOME_SECONDS)
 
     def note_unknown_vm(self, vm, pool):
         """Handle the answer that the VM is unknown, or not allowed in the pool.
@@ -349,12 +349,12 @@
         if kind not in self.kinds_by_pool[pool]:
             self.impossible.add((kind, pool))
         self.source_pool_by_vm.pop(vm, None)
-        self.hold(vm, UNSURE_SECONDS)
+        self.hold(vm, UNKNOWN_OUTCOME_SECONDS)
 
     def is_overdue(self, vm, now):
         """Whether a moved VM should have registered in its new pool by now."""
         moved_at = self.moved_at_by_vm.get(vm, now)
-        return now - moved_at > self.move_seconds + self.session.silence_seconds
+        return now - moved_at > self.move_seconds + self.session.silence_timeout_seconds
 
     def abandon(self, vm, pool):
         """Record that a move is over although the VM never registered.
@@ -383,7 +383,7 @@
             log_event("minion_removed", minion=life, reason="moved", runs=runs)
             self.session.propose(RemoveMinion(life, wall_ms()))
         if config_pool is not None and config_pool.is_spare:
-            self.spare_vms[vm] = pool
+            self.spare_pool_by_vm[vm] = pool
             self.hold(vm, self.move_seconds)
             self.session.propose(EndMove(vm))
 
--- a/hingepitch/jobs/pace.py
+++ b/hingepitch/jobs/pace.py
@@ -11,7 +11,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["Neighbour", "next_percent"]
+__all__ = ["ServingTask", "next_percent"]
 
 FULL_PERCENT = 100
 
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Neighbour:
+class ServingTask:
     """A serving task on the same minion as a filler.
 
     `tail_ms`
@@ -39,15 +39,15 @@
     target_ms: int
 
 
-def next_percent(percent, neighbours):
+def next_percent(percent, serving_tasks):
     """Return the new pace of the fillers on a minion, in percent.
 
     `percent`
         Their current pace.
-    `neighbours`
+    `serving_tasks`
         The serving tasks on the minion, from the last status poll.
     """
-    parts = [one.tail_ms / one.target_ms for one in neighbours if one.target_ms]
+    parts = [one.tail_ms / one.target_ms for one in serving_tasks if one.target_ms]
     worst = max(parts, default=0.0)
     if worst >= STOP_PART:
         return 0
--- a/hingepitch/jobs/permission.py
+++ b/hingepitch/jobs/permission.py
@@ -18,7 +18,7 @@
 from hingepitch.jobs.spec import TaskKey
 from hingepitch.log import log_event
 
-__all__ = ["Permission", "PermissionDesk"]
+__all__ = ["Permission", "PermissionController"]
 
 #: Limit of minions in one call. Source: the time granted to a job allows for one
 #: call about 30 minions per step.
@@ -55,7 +55,7 @@
     until: float
 
 
-class PermissionDesk:
+class PermissionController:
     """Requests permissions for the steps that are ready, one call at a time.
 
     `session`
@@ -96,7 +96,7 @@
         self.forget()
         return asked
 
-    def advice_of(self, step_key):
+    def advice_terms(self, step_key):
         """Return the `AdviceTerms` of the queue of a step, or None."""
         job = self.session.table.job_by_id.get(step_key[0])
         return self.session.table.policy(job).advice if job else None
@@ -109,7 +109,7 @@
         """
         if step_key not in self.session.table.ready_steps:
             return False
-        if self.advice_of(step_key) is None:
+        if self.advice_terms(step_key) is None:
             return False
         return not any(
             self.has_capacity(step_key, life) for life in self.permitted(step_key)
@@ -134,7 +134,7 @@
         if ticket_by_life is None:
             gevent.sleep(RETRY_SECONDS)
             return True
-        terms = self.advice_of(step_key)
+        terms = self.advice_terms(step_key)
         if terms is None:
             return True
         until = sent_at + terms.valid_ms / 1000
--- a/hingepitch/jobs/plan.py
+++ b/hingepitch/jobs/plan.py
@@ -18,13 +18,13 @@
 from hingepitch.jobs.rack import minions_for_one_rack
 from hingepitch.jobs.record import TaskStatus
 from hingepitch.jobs.spec import TaskKey
-from hingepitch.jobs.table import Room
+from hingepitch.jobs.table import ResourceUsage
 
-__all__ = ["Outlook", "plan_starts"]
+__all__ = ["PlanContext", "plan_starts"]
 
 
 @dataclass(slots=True)
-class Outlook:
+class PlanContext:
     """Inputs of a planning pass that the job table does not hold.
 
     `now_ms`
@@ -38,7 +38,7 @@
         Incarnations that may run a step, for queues that require permission.
     `durations`
         Expected run times.
-    `far_factor`
+    `cross_rack_slowdown`
         Slowdown of the tasks of a `same_rack` step that are spread over racks.
     `rack_waited_ms_by_step`
         How long each `same_rack` step has waited for a rack.
@@ -53,7 +53,7 @@
     penalty_by_minion: dict[str, float] = field(default_factory=dict)
     permitted_by_step: dict[tuple, set[str]] = field(default_factory=dict)
     durations: Durations = field(default_factory=Durations)
-    far_factor: float = 2.0
+    cross_rack_slowdown: float = 2.0
     rack_waited_ms_by_step: dict[tuple, float] = field(default_factory=dict)
     suspects: SuspectView = field(default_factory=SuspectView)
     paused: set[TaskKey] = field(default_factory=set)
@@ -64,16 +64,16 @@
     """Working state of one planning pass: the table plus the planned starts."""
 
     table: object
-    outlook: Outlook
+    plan_context: PlanContext
     minions_by_pool: dict[str, list] = field(default_factory=dict)
-    used_by_minion: dict[str, Room] = field(default_factory=dict)
+    used_by_minion: dict[str, ResourceUsage] = field(default_factory=dict)
     placed_by_step: dict[tuple, dict[str, int]] = field(default_factory=dict)
     too_large_by_pool: dict[str, list] = field(default_factory=dict)
 
     @cached_property
     def isolation(self):
         """The `Isolation` that keeps suspected tasks apart in this pass."""
-        return Isolation(self.table, self.outlook.suspects)
+        return Isolation(self.table, self.plan_context.suspects)
 
     @cached_property
     def vms_due(self):
@@ -84,7 +84,7 @@
         """Return the usable minions of a pool."""
         if not self.minions_by_pool:
             for minion in self.table.minion_by_id.values():
-                usable = minion.id in self.outlook.usable
+                usable = minion.id in self.plan_context.usable
                 if usable and not self.table.is_leaving(minion):
                     self.minions_by_pool.setdefault(minion.pool, []).append(minion)
         return self.minions_by_pool.get(pool, [])
@@ -101,7 +101,7 @@
         """Return the number of tasks of a step by minion, planned starts included."""
         counts = self.placed_by_step.get(step_key)
         if counts is None:
-            counts = dict(self.table.carried_by_step.get(step_key, {}))
+            counts = dict(self.table.run_counts_by_step.get(step_key, {}))
             self.placed_by_step[step_key] = counts
         return counts
 
@@ -147,16 +147,16 @@
         self.too_large_by_pool.setdefault(pool, []).append(step)
 
 
-def plan_starts(table, outlook):
+def plan_starts(table, plan_context):
     """Return `(starts, gangs)` to order now, the most urgent first.
 
     `starts` holds a `Start` for each single task, `gangs` a tuple of `Start`
     for each gang.
     """
-    work = PlanningPass(table, outlook)
+    work = PlanningPass(table, plan_context)
     starts = []
     gangs = []
-    for job, round_number, step_number in order_steps(table, outlook):
+    for job, round_number, step_number in order_steps(table, plan_context):
         key = (job.id, round_number, step_number)
         placed = list(place_step(work, job, key))
         if job.spec.steps[step_number].gang:
@@ -167,16 +167,16 @@
     return tuple(starts), tuple(gangs)
 
 
-def order_steps(table, outlook):
+def order_steps(table, plan_context):
     """Return `(job, round number, step number)` of the ready steps by urgency."""
     steps = [
         (table.job_by_id[job], number, step) for job, number, step in table.ready_steps
     ]
-    steps.sort(key=lambda entry: urgency(table, outlook, *entry))
+    steps.sort(key=lambda entry: urgency(table, plan_context, *entry))
     return steps
 
 
-def urgency(table, outlook, job, round_number, step_number):
+def urgency(table, plan_context, job, round_number, step_number):
     """Return the sort key of a ready step.
 
     Orders by priority, then long-running tasks before others, then jobs that
@@ -184,7 +184,7 @@
     """
     policy = table.policy(job)
     step = job.spec.steps[step_number]
-    now_ms, durations = outlook.now_ms, outlook.durations
+    now_ms, durations = plan_context.now_ms, plan_context.durations
     late = is_late(policy, job, round_number, step_number, now_ms, durations)
     due = due_ms(policy, job, round_number, durations)
     return (policy.priority, not step.lasts, late, due)
@@ -195,7 +195,7 @@
     _, round_number, step_number = key
     step = job.spec.steps[step_number]
     pool = work.table.policy(job).pool
-    if work.isolation.is_idle and work.is_too_large(pool, step):
+    if work.isolation.is_inactive and work.is_too_large(pool, step):
         return
     tasks = job.round_by_number[round_number].tasks_by_step[step_number]
     waiting = [
@@ -203,7 +203,7 @@
         for index, task in enumerate(tasks)
         if task.status is TaskStatus.WAITING
         and TaskKey(*key, index) not in work.table.run_by_task
-        and TaskKey(*key, index) not in work.outlook.paused
+        and TaskKey(*key, index) not in work.plan_context.paused
     ]
     if step.gang and len(waiting) < step.count:
         return
@@ -243,7 +243,7 @@
 def eligible_minions(work, job, key, step):
     """Yield the minions that may run tasks of a step, whatever their capacity."""
     policy = work.table.policy(job)
-    permitted = work.outlook.permitted_by_step.get(key)
+    permitted = work.plan_context.permitted_by_step.get(key)
     if policy.advice is not None and permitted is None:
         return
     for minion in work.minions(policy.pool):
@@ -288,7 +288,7 @@
             minion.vm in avoided,
             bool(step.data_rack) and minion.rack != step.data_rack,
             step.lasts and minion.vm in work.vms_due,
-            work.outlook.penalty_by_minion.get(minion.id, 0.0),
+            work.plan_context.penalty_by_minion.get(minion.id, 0.0),
             taken if is_suspect else -taken,
         )
         if best is None or score < best_score:
--- a/hingepitch/jobs/look.py
+++ b/hingepitch/jobs/poller.py
@@ -1,6 +1,6 @@
 """
-hingepitch.jobs.look
-~~~~~~~~~~~~~~~~~~~~
+hingepitch.jobs.poller
+~~~~~~~~~~~~~~~~~~~~~~
 
 Status polls of one minion: each lists the runs that go on and those that ended,
 and renews the minion's lease.
@@ -16,12 +16,12 @@
 from hingepitch.clock import lease_seconds
 from hingepitch.jobs.cause import EndCause
 from hingepitch.jobs.command import RunEnd
-from hingepitch.jobs.contact import LookOrder, ReplyKind
+from hingepitch.jobs.contact import PollOrder, ReplyKind
 from hingepitch.jobs.record import RunResult
 from hingepitch.jobs.runview import UNLISTED_STATUSES, RunViewStatus
 from hingepitch.log import log_event
 
-__all__ = ["UNCONFIRMED_SECONDS", "LookDesk"]
+__all__ = ["UNCONFIRMED_SECONDS", "StatusPoller"]
 
 #: Long-poll wait while a stop is in progress, in milliseconds: about the time that
 #: a stop takes.
@@ -35,7 +35,7 @@
 #: Maximum long-poll wait, as a fraction of the lease. A lost poll is noticed only
 #: when its wait is over, and the next one renews nothing. With a quarter, two
 #: polls in a row may be lost before the lease expires; with half, not even one.
-LEASE_PART = 1 / 4
+MAX_WAIT_LEASE_FRACTION = 1 / 4
 
 #: Pause after the second and later status polls in a row that failed, in seconds.
 RETRY_SECONDS = 0.25
@@ -52,21 +52,21 @@
 UNSETTLED_STARTS = frozenset((RunViewStatus.FRESH, RunViewStatus.ORDERED))
 
 
-class LookDesk:
+class StatusPoller:
     """Polls the status of one incarnation of a minion for its agent.
 
     `agent`
         The `Agent`, with its views, client and lease.
     `wake`
         Set when a status poll may be needed.
-    `ends_taken`, `ends_acknowledged`
+    `ends_recorded`, `ends_acknowledged`
         Sequence number of the last end that is recorded, and of the last end
         that the minion was told is recorded.
-    `looked_at`
+    `polled_at`
         When the poll was sent whose list of runs is the latest.
     `result_lock`
         Lock held while the result of a poll is processed.
-    `is_held`
+    `is_long_polling`
         Whether a long poll is in progress.
     `is_settling`
         Whether polls for runs of unknown outcome are sent beside the long poll.
@@ -77,11 +77,11 @@
     def __init__(self, agent):
         self.agent = agent
         self.wake = Event()
-        self.ends_taken = 0
+        self.ends_recorded = 0
         self.ends_acknowledged = 0
-        self.looked_at = 0.0
+        self.polled_at = 0.0
         self.result_lock = BoundedSemaphore(1)
-        self.is_held = False
+        self.is_long_polling = False
         self.is_settling = False
         self.was_refused = False
 
@@ -100,11 +100,11 @@
     def is_needed(self):
         """Whether a poll can bring news or has an acknowledgement to deliver."""
         if (
-            self.ends_acknowledged < self.ends_taken
+            self.ends_acknowledged < self.ends_recorded
             or self.agent.clock_offset_ms is None
         ):
             return True
-        if self.agent.is_silent:
+        if self.agent.is_unresponsive:
             return True
         return any(
             view.status not in UNSETTLED_STARTS
@@ -119,7 +119,7 @@
         """
         if (
             not self.agent.view_by_task
-            or self.agent.is_silent
+            or self.agent.is_unresponsive
             or self.has_unknown_outcome()
         ):
             return 0
@@ -130,10 +130,10 @@
             return 0
         if RunViewStatus.STOPPED in statuses:
             return STOPPING_POLL_MS
-        longest = LEASE_PART * self.agent.session.lease_seconds
+        longest = MAX_WAIT_LEASE_FRACTION * self.agent.session.lease_seconds
         if self.agent.renewals.is_overdue(lease_seconds(), longest + ANSWER_SECONDS):
             return 0
-        wait_ms = self.agent.session.watch.look_wait_ms(self.agent)
+        wait_ms = self.agent.session.watch.poll_wait_ms(self.agent)
         return min(wait_ms, int(longest * 1000))
 
     def has_unknown_outcome(self):
@@ -156,7 +156,7 @@
         the two polls needed to confirm that a run is absent.
         """
         self.wake.set()
-        if self.is_held and not self.is_settling:
+        if self.is_long_polling and not self.is_settling:
             self.is_settling = True
             self.agent.spawn(self.settle)
 
@@ -164,7 +164,9 @@
         """Poll without wait while a long poll and an unknown outcome persist."""
         try:
             while (
-                self.is_held and self.has_unknown_outcome() and not self.agent.is_gone
+                self.is_long_polling
+                and self.has_unknown_outcome()
+                and not self.agent.is_gone
             ):
                 if not self.agent.session.may_order():
                     gevent.sleep(UNCONFIRMED_SECONDS)
@@ -176,31 +178,31 @@
     def long_poll(self):
         """Send a poll with the longest wait that the runs allow."""
         wait_ms = self.wait_ms()
-        self.is_held = wait_ms > 0
+        self.is_long_polling = wait_ms > 0
         try:
             self.look(wait_ms)
         finally:
-            self.is_held = False
+            self.is_long_polling = False
 
     def look(self, wait_ms):
         """Send a poll that waits `wait_ms` at most, and process its result."""
         sent_at = lease_seconds()
-        taken = self.ends_taken
+        taken = self.ends_recorded
         until = renewal = None
         # A renewal without an answer may still arrive and extend the lease, so a
         # minion that is unresponsive or refused a poll gets no renewals until it
         # lists its runs again.
-        is_listing = not self.agent.is_silent and not self.was_refused
+        is_listing = not self.agent.is_unresponsive and not self.was_refused
         if self.agent.clock_offset_ms is not None and is_listing:
             until = self.agent.lease_until_ms()
             self.agent.extend_lease()
             renewal = self.agent.renewals.note_sent(until, sent_at)
-        order = LookOrder(self.agent.session.fence, taken, until, wait_ms)
-        answer_seconds = max(ANSWER_SECONDS, self.agent.answer_time.limit_seconds)
+        order = PollOrder(self.agent.session.fence, taken, until, wait_ms)
+        answer_seconds = max(ANSWER_SECONDS, self.agent.reply_time.timeout_seconds)
         look = self.agent.client.look(order, wait_ms / 1000 + answer_seconds)
         self.agent.note_reply(look.reply, sent_at)
         is_done = look.reply.kind is ReplyKind.DONE
-        self.was_refused = not is_done and not self.agent.is_silent
+        self.was_refused = not is_done and not self.agent.is_unresponsive
         if not is_done:
             self.end_runs_if_expired()
             if not is_listing:
@@ -208,25 +210,25 @@
                 gevent.sleep(IDLE_RETRY_SECONDS if idle else RETRY_SECONDS)
             return
         if wait_ms == 0:
-            self.agent.answer_time.note(lease_seconds() - sent_at)
+            self.agent.reply_time.note(lease_seconds() - sent_at)
         self.agent.session.withdraw_suspicion(self.agent.minion.id)
-        self.take_look(look, sent_at, taken)
+        self.process_result(look, sent_at, taken)
         self.agent.renewals.note_answered(renewal)
         self.agent.wake.set()
         if wait_ms == 0:
             gevent.sleep(self.agent.session.poll_pause_seconds)
 
-    def take_look(self, look, sent_at, taken):
+    def process_result(self, look, sent_at, taken):
         """Process the result of a poll, one result at a time.
 
         If the result of a poll that was sent later has been processed, the list of
         runs is outdated and skipped; the ends are still valid.
         """
         with self.result_lock:
-            is_news = sent_at >= self.looked_at
+            is_news = sent_at >= self.polled_at
             self.ends_acknowledged = max(self.ends_acknowledged, taken)
             if is_news:
-                self.looked_at = sent_at
+                self.polled_at = sent_at
                 self.update_running(look.running, sent_at)
             self.record_ends(look.ended)
             self.agent.session.gauge.note_unread(look)
@@ -250,7 +252,7 @@
         self.agent.session.watch.note_rows(self.agent)
 
     def record_ends(self, ended):
-        """Record the ends that a poll lists, then advance `ends_taken`."""
+        """Record the ends that a poll lists, then advance `ends_recorded`."""
         if not ended:
             return
         ends = tuple(
@@ -264,7 +266,9 @@
         self.agent.session.watch.note_ends(self.agent, known)
         self.log_lease_expiry(known)
         if not known or self.agent.session.end_runs(known, EndCause.LISTED):
-            self.ends_taken = max(self.ends_taken, *(one.sequence for one in ended))
+            self.ends_recorded = max(
+                self.ends_recorded, *(one.sequence for one in ended)
+            )
 
     def mark_ended(self, ends):
         """Mark the views of runs that ended, before the ends are recorded."""
@@ -307,7 +311,7 @@
 
     def end_runs_if_expired(self):
         """End the runs of the minion once its lease is confirmed to have expired."""
-        if lease_seconds() < self.agent.lease_over_at:
+        if lease_seconds() < self.agent.lease_expired_at:
             return
         ends = []
         kept = 0
--- a/hingepitch/jobs/pool.py
+++ b/hingepitch/jobs/pool.py
@@ -18,7 +18,7 @@
 class PoolTerms:
     """Thresholds for moving VMs between pools; times in seconds.
 
-    `use_part`
+    `target_utilization`
         Target utilization: part of a pool's capacity that may be in use before
         the pool wants more VMs.
     `late_part`
@@ -37,7 +37,7 @@
         A VM that is idle for longer may move to a pool that wants more VMs.
     """
 
-    use_part: float = 0.85
+    target_utilization: float = 0.85
     late_part: float = 0.25
     floor: int = 2
     idle_seconds: float = 0.5
@@ -116,7 +116,9 @@
         ),
     )
     needed = [
-        used / terms.use_part * load.minions / room for used, room in parts if room
+        used / terms.target_utilization * load.minions / room
+        for used, room in parts
+        if room
     ]
     return max(terms.floor, load.spread, *(ceil(one) for one in needed))
 
--- a/hingepitch/jobs/question.py
+++ b/hingepitch/jobs/question.py
@@ -29,7 +29,7 @@
     "MemberRow",
     "NoteBeat",
     "NoteLeaving",
-    "decode_question",
+    "decode_request",
     "encode",
 ]
 
@@ -164,7 +164,7 @@
     return ENCODER.encode(value)
 
 
-def decode_question(data):
+def decode_request(data):
     """Return the request decoded from `data`; raise `bad_request` if it is invalid."""
     try:
         return DECODER.decode(data)
--- a/hingepitch/jobs/queue.py
+++ b/hingepitch/jobs/queue.py
@@ -69,7 +69,7 @@
     advice: AdviceTerms | None = None
 
     @property
-    def place(self):
+    def route(self):
         """Host and path prefix, which are unique to the queue."""
         return self.host, self.path_prefix
 
@@ -118,7 +118,7 @@
     """
 
     def __init__(self, queues=()):
-        self.queue_by_route = {queue.place: queue for queue in queues}
+        self.queue_by_route = {queue.route: queue for queue in queues}
         self.pools = {queue.pool for queue in queues}
         lengths_by_host = defaultdict(set)
         for host, prefix in self.queue_by_route:
@@ -147,8 +147,8 @@
     for queue in config.queues:
         if queue.pool not in pools:
             raise HingepitchError("bad_object", f"{queue.name}: unknown {queue.pool}")
-        if queue.place in places:
+        if queue.route in places:
             raise HingepitchError("bad_object", f"{queue.name}: its place is taken")
         if queue.timeout_ms <= 0:
             raise HingepitchError("bad_object", f"{queue.name}: no time-out")
-        places.add(queue.place)
+        places.add(queue.route)
--- a/hingepitch/jobs/rack.py
+++ b/hingepitch/jobs/rack.py
@@ -9,7 +9,7 @@
 :license: BSD, see LICENSE for details.
 """
 
-from hingepitch.jobs.table import Room
+from hingepitch.jobs.table import ResourceUsage
 
 __all__ = ["minions_for_one_rack", "slots_on"]
 
@@ -60,7 +60,7 @@
 def is_wait_worthwhile(work, job, key, racks, count):
     """Whether waiting for one of `racks` takes less time than it saves.
 
-    Tasks that are spread over racks take `far_factor` times as long, so the
+    Tasks that are spread over racks take `cross_rack_slowdown` times as long, so the
     wait is limited by the time saved, and by `MAX_WAIT_MS`. At least one rack
     must be able to take the step once its other tasks end; long-running tasks
     never do. A long-running step does not wait, since its absence would cost as
@@ -69,10 +69,12 @@
     step = job.spec.steps[key[2]]
     if step.lasts:
         return False
-    outlook = work.outlook
-    place = work.table.policy(job).place
-    saved_ms = (outlook.far_factor - 1) * outlook.durations.expected_ms(place, step)
-    if outlook.rack_waited_ms_by_step.get(key, 0) > min(saved_ms, MAX_WAIT_MS):
+    plan_context = work.plan_context
+    route = work.table.policy(job).route
+    saved_ms = (
+        plan_context.cross_rack_slowdown - 1
+    ) * plan_context.durations.expected_ms(route, step)
+    if plan_context.rack_waited_ms_by_step.get(key, 0) > min(saved_ms, MAX_WAIT_MS):
         return False
     return any(potential_slots(work, step, minions) >= count for minions in racks)
 
@@ -89,7 +91,7 @@
 
 def lasting_usage(table, minion):
     """Return the resources that long-running tasks use on a minion."""
-    room = Room()
+    room = ResourceUsage()
     for run in table.runs_by_minion.get(minion.id, {}).values():
         job = table.job_by_id.get(run.task.job)
         if job is not None and job.is_open and job.spec.steps[run.task.step].lasts:
--- a/hingepitch/jobs/renewal.py
+++ b/hingepitch/jobs/renewal.py
@@ -11,7 +11,7 @@
 
 from typing import NamedTuple
 
-__all__ = ["RenewalBook"]
+__all__ = ["RenewalHistory"]
 
 
 class Renewal(NamedTuple):
@@ -28,7 +28,7 @@
     clock_age: float
 
 
-class RenewalBook:
+class RenewalHistory:
     """Lease renewals of one incarnation of a minion.
 
     `sent`, `answered`
--- a/hingepitch/jobs/answer.py
+++ b/hingepitch/jobs/replytime.py
@@ -1,6 +1,6 @@
 """
-hingepitch.jobs.answer
-~~~~~~~~~~~~~~~~~~~~~~
+hingepitch.jobs.replytime
+~~~~~~~~~~~~~~~~~~~~~~~~~
 
 Adaptive reply timeout of one minion, estimated from its recent reply times.
 
@@ -8,16 +8,16 @@
 :license: BSD, see LICENSE for details.
 """
 
-__all__ = ["AnswerTime"]
+__all__ = ["ReplyTime"]
 
 #: Timeout before the first reply, and the maximum timeout, in seconds. Stops are
 #: normally answered within 5 ms; where replies get lost, no end is seen for as
 #: long as the leader waits for one.
-MOST_SECONDS = 0.4
+MAX_TIMEOUT_SECONDS = 0.4
 
 #: Minimum timeout, in seconds. A leader that plans a burst blocks its own event
 #: loop for tens of milliseconds, in which it reads no reply.
-LEAST_SECONDS = 0.1
+MIN_TIMEOUT_SECONDS = 0.1
 
 #: Weights of a new sample in the mean and in the deviation, and the number of
 #: deviations beyond the mean in the timeout, from RFC 6298, section 2.
@@ -26,7 +26,7 @@
 DEVIATIONS = 4
 
 
-class AnswerTime:
+class ReplyTime:
     """Moving estimate of the time that replies of one minion take.
 
     Calls without a reply are not counted, as they give no sample of a reply time.
@@ -47,9 +47,9 @@
         self.mean += MEAN_GAIN * (seconds - self.mean)
 
     @property
-    def limit_seconds(self):
+    def timeout_seconds(self):
         """Timeout after which a reply is unlikely to arrive."""
         if self.mean is None:
-            return MOST_SECONDS
+            return MAX_TIMEOUT_SECONDS
         expected = self.mean + DEVIATIONS * self.deviation
-        return min(MOST_SECONDS, max(LEAST_SECONDS, expected))
+        return min(MAX_TIMEOUT_SECONDS, max(MIN_TIMEOUT_SECONDS, expected))
--- a/hingepitch/jobs/restart.py
+++ b/hingepitch/jobs/restart.py
@@ -10,7 +10,7 @@
 
 from dataclasses import dataclass
 
-__all__ = ["RestartBook"]
+__all__ = ["RestartBackoff"]
 
 #: A run of a long-running task shorter than this, in seconds, is a quick exit.
 QUICK_EXIT_SECONDS = 1.5
@@ -34,7 +34,7 @@
     until: float = 0.0
 
 
-class RestartBook:
+class RestartBackoff:
     """Tracks long-running tasks with quick exits and delays their restarts.
 
     All times are on one clock, in seconds. The state is in the leader's memory
@@ -42,31 +42,31 @@
     """
 
     def __init__(self):
-        self.pause_by_task = {}
+        self.backoff_by_task = {}
 
     def note_end(self, task, ran_seconds, now):
         """Record that a run of a long-running task ended by itself."""
         if ran_seconds >= QUICK_EXIT_SECONDS:
-            self.pause_by_task.pop(task, None)
+            self.backoff_by_task.pop(task, None)
             return
-        pause = self.pause_by_task.setdefault(task, Backoff())
+        pause = self.backoff_by_task.setdefault(task, Backoff())
         pause.ends += 1
-        pause.until = now + pause_seconds(pause.ends)
-        while len(self.pause_by_task) > MAX_TASKS:
+        pause.until = now + backoff_seconds(pause.ends)
+        while len(self.backoff_by_task) > MAX_TASKS:
             self.evict_one()
 
     def evict_one(self):
         """Evict the task whose pause ends first."""
-        del self.pause_by_task[
-            min(self.pause_by_task, key=lambda task: self.pause_by_task[task].until)
+        del self.backoff_by_task[
+            min(self.backoff_by_task, key=lambda task: self.backoff_by_task[task].until)
         ]
 
     def paused(self, now):
         """Return the tasks that must not be started yet."""
-        return {task for task, one in self.pause_by_task.items() if now < one.until}
+        return {task for task, one in self.backoff_by_task.items() if now < one.until}
 
 
-def pause_seconds(ends):
+def backoff_seconds(ends):
     """Return the pause, in seconds, after `ends` quick exits in a row."""
     if ends < 2:
         return 0.0
--- a/hingepitch/jobs/roster.py
+++ b/hingepitch/jobs/roster.py
@@ -18,7 +18,7 @@
 
     `sequence_by_minion`
         Sequence number of the last heartbeat, by incarnation.
-    `on_beat`
+    `on_heartbeat`
         Function of an incarnation and its clock, called for each new heartbeat;
         set by the dispatcher.
     `on_crash`
@@ -31,7 +31,7 @@
 
     def __init__(self):
         self.sequence_by_minion = {}
-        self.on_beat = None
+        self.on_heartbeat = None
         self.on_crash = None
         self.is_present = None
 
@@ -47,11 +47,11 @@
         self.sequence_by_minion[heartbeat.minion.id] = heartbeat.sequence
         return True
 
-    def take_blame(self, life):
+    def blame_for(self, life):
         """Return the `Blame` for an incarnation that a newer one replaces."""
         return self.on_crash(life) if self.on_crash is not None else NO_BLAME
 
     def pass_heartbeat(self, minion_id, clock_ms):
         """Pass the heartbeat of a minion to the dispatcher."""
-        if self.on_beat is not None:
-            self.on_beat(minion_id, clock_ms)
+        if self.on_heartbeat is not None:
+            self.on_heartbeat(minion_id, clock_ms)
--- a/hingepitch/jobs/service.py
+++ b/hingepitch/jobs/service.py
@@ -16,7 +16,7 @@
 from hingepitch.clock import lease_seconds, wall_ms
 from hingepitch.error import HingepitchError
 from hingepitch.jobs import question as questions
-from hingepitch.jobs.blame import log_crash, log_given_up
+from hingepitch.jobs.blame import log_abandoned_jobs, log_crash
 from hingepitch.jobs.command import (
     AcceptJob,
     CancelJob,
@@ -156,7 +156,7 @@
         if lease_seconds() - self.confirmed_at > MAX_CONFIRMATION_AGE_SECONDS:
             self.confirm()
         queue = self.require_queue(question)
-        return self.table.pending_by_place[queue.place]
+        return self.table.pending_by_route[queue.route]
 
     def require_queue(self, question):
         """Return the queue of a request; raise `no_queues` or `unknown_queue`."""
@@ -266,11 +266,11 @@
         if before != minion.id:
             reason = f"{minion.id} replaced it"
             log_event("minion_removed", minion=before, reason=reason, runs=runs)
-        log_given_up(self.table, before, blame)
+        log_abandoned_jobs(self.table, before, blame)
 
     def suspect(self, life):
         """Record the suspects for the end of an incarnation, before the end itself."""
-        blame = self.roster.take_blame(life)
+        blame = self.roster.blame_for(life)
         if blame.exposed:
             log_crash(life, blame)
             self.propose(Role.DISPATCHER, SuspectLife(life, blame))
@@ -303,7 +303,7 @@
 
     @answer.register
     def _(self, question: questions.JoinGroup):
-        return self.members.welcome(question)
+        return self.members.register_applicant(question)
 
     @answer.register
     def _(self, question: questions.AskMembers):
--- a/hingepitch/jobs/session.py
+++ b/hingepitch/jobs/session.py
@@ -14,8 +14,13 @@
 
 from hingepitch.clock import lease_seconds, wall_ms
 from hingepitch.error import HingepitchError
-from hingepitch.jobs.agentbook import AgentRegistry
-from hingepitch.jobs.blame import blame_of, log_crash, log_given_up, unseen_blame
+from hingepitch.jobs.agentregistry import AgentRegistry
+from hingepitch.jobs.blame import (
+    blame_of,
+    log_abandoned_jobs,
+    log_crash,
+    unobserved_blame,
+)
 from hingepitch.jobs.command import (
     EndRuns,
     OpenRounds,
@@ -27,16 +32,16 @@
 from hingepitch.jobs.crash import NO_BLAME
 from hingepitch.jobs.duration import Durations
 from hingepitch.jobs.gauge import DispatchGauge
-from hingepitch.jobs.isolation import SuspectView, SuspectWaits, suspect_view
+from hingepitch.jobs.isolation import SuspectView, SuspectWaitTracker, suspect_view
 from hingepitch.jobs.load import measure_pools
-from hingepitch.jobs.mover import MoveDesk
-from hingepitch.jobs.permission import PermissionDesk
-from hingepitch.jobs.plan import Outlook, plan_starts
+from hingepitch.jobs.mover import MoveController
+from hingepitch.jobs.permission import PermissionController
+from hingepitch.jobs.plan import PlanContext, plan_starts
 from hingepitch.jobs.record import RunResult
-from hingepitch.jobs.restart import RestartBook
+from hingepitch.jobs.restart import RestartBackoff
 from hingepitch.jobs.runview import RunViewStatus
 from hingepitch.jobs.spec import format_task
-from hingepitch.jobs.upkeep import UpkeepDesk
+from hingepitch.jobs.upkeep import UpkeepController
 from hingepitch.jobs.watch import RunWatch
 from hingepitch.log import log_event, place_of
 from hingepitch.model.command import Envelope, Role
@@ -61,7 +66,7 @@
 LOAD_SECONDS = 1.0
 
 #: Pause after a status poll that returns at once, in seconds.
-LOOK_PAUSE_SECONDS = 0.1
+POLL_PAUSE_SECONDS = 0.1
 
 
 class Session:
@@ -72,7 +77,7 @@
     `connect`
         Function from a `Minion` to a client for it.
     `terms`
-        A `DispatchTerms`.
+        A `DispatchSettings`.
     `platform`
         Client of the platform's VM API, or None without a platform.
     `adviser`
@@ -98,10 +103,10 @@
         self.name = name
         self.gauge = DispatchGauge(metrics, self)
         self.durations = Durations()
-        self.permissions = PermissionDesk(self, adviser)
+        self.permissions = PermissionController(self, adviser)
         self.watch = RunWatch(self)
-        self.upkeep = UpkeepDesk(self, platform, terms.upkeep_seconds)
-        self.mover = MoveDesk(self, platform, terms.pools, terms.move_seconds)
+        self.upkeep = UpkeepController(self, platform, terms.upkeep_seconds)
+        self.mover = MoveController(self, platform, terms.pools, terms.move_seconds)
         self.fence = replica.core.term
         self.started_at = lease_seconds()
         self.confirmed_at = 0.0
@@ -111,8 +116,8 @@
         self.greenlets = set()
         self.woken = Event()
         self.rack_waits = {}
-        self.restarts = RestartBook()
-        self.suspect_waits = SuspectWaits(lease_seconds)
+        self.restarts = RestartBackoff()
+        self.suspect_waits = SuspectWaitTracker(lease_seconds)
         self.gather_seconds = GATHER_SECONDS
         self.inherited = {
             (run.task, run.number) for run in self.table.run_by_task.values()
@@ -129,19 +134,19 @@
         return self.terms.lease_seconds
 
     @property
-    def lease_until_over_seconds(self):
+    def confirmed_expiry_seconds(self):
         """Time until a lease granted now is confirmed to have expired."""
-        return self.terms.lease_until_over_seconds
+        return self.terms.confirmed_expiry_seconds
 
     @property
-    def silence_seconds(self):
+    def silence_timeout_seconds(self):
         """Time without a message after which a minion gets no new runs."""
-        return 3 * self.terms.beat_seconds
+        return 3 * self.terms.heartbeat_seconds
 
     @property
     def poll_pause_seconds(self):
         """Pause after a status poll that returns at once."""
-        return LOOK_PAUSE_SECONDS
+        return POLL_PAUSE_SECONDS
 
     def leads(self):
         """Whether this replica still leads in this session's term, as far as known."""
@@ -181,7 +186,7 @@
             return None
         step_key = run.task[:3]
         ticket = self.permissions.ticket(step_key, run.minion)
-        if ticket is None and self.permissions.advice_of(step_key) is not None:
+        if ticket is None and self.permissions.advice_terms(step_key) is not None:
             return None
         return StartOrder(
             task=run.task,
@@ -264,7 +269,7 @@
             return
         if run.number == end.number and not task.checkpoint:
             queue = self.table.policy(self.table.job_by_id[end.task.job])
-            self.durations.note(queue.place, step, at_ms - run.started_ms)
+            self.durations.note(queue.route, step, at_ms - run.started_ms)
 
     def end_incarnation(self, minion_id, reason):
         """Record that an incarnation of a minion has ended; return whether it has."""
@@ -275,7 +280,7 @@
         self.suspect(minion_id)
         blame = self.table.crashes.blame_by_life.get(minion_id, NO_BLAME)
         is_over = self.propose(RemoveMinion(minion_id, wall_ms()))
-        log_given_up(self.table, minion_id, blame)
+        log_abandoned_jobs(self.table, minion_id, blame)
         return is_over
 
     def suspect(self, minion_id):
@@ -290,7 +295,7 @@
         """Return the `Blame` for an incarnation that ends now without a plan."""
         agent = self.agent_by_minion.get(minion_id)
         if agent is None:
-            return unseen_blame(self.table, minion_id)
+            return unobserved_blame(self.table, minion_id)
         return blame_of(agent, self.agent_by_minion.values(), wall_ms())
 
     def withdraw_suspicion(self, minion_id):
@@ -352,7 +357,7 @@
         greenlet.link(self.note_end)
         return greenlet
 
-    def spawn_apart(self, name, function, *arguments):
+    def spawn_guarded(self, name, function, *arguments):
         """Run a function in a greenlet; log its exception and keep the session."""
         return self.spawn(self.attempt, name, function, *arguments)
 
@@ -436,7 +441,7 @@
 
     def run_planning_pass(self):
         """Reconcile the agents, open due rounds, plan starts and record them."""
-        self.agents.match()
+        self.agents.reconcile()
         if not self.may_order():
             return
         self.open_due_rounds()
@@ -444,19 +449,19 @@
         if not self.table.ready_steps:
             return
         began = lease_seconds()
-        starts, gangs = plan_starts(self.table, self.outlook())
+        starts, gangs = plan_starts(self.table, self.plan_context())
         # Planning takes at most half of the time, however much work waits.
         self.gather_seconds = max(GATHER_SECONDS, lease_seconds() - began)
         if starts or gangs:
             self.propose(StartRuns(starts, gangs, wall_ms()))
-            self.agents.match()
+            self.agents.reconcile()
 
     @property
     def agent_by_minion(self):
         """The agents in service, by incarnation of a minion."""
         return self.agents.by_minion
 
-    def outlook(self):
+    def plan_context(self):
         """Return the planner's input that is not in the job table."""
         now = lease_seconds()
         usable = {
@@ -468,16 +473,18 @@
         permitted = {
             step_key: self.permissions.permitted(step_key)
             for step_key in self.table.ready_steps
-            if self.permissions.advice_of(step_key) is not None
+            if self.permissions.advice_terms(step_key) is not None
+        }
+        avoidance = {
+            life: self.agent_by_minion[life].health.avoidance(now) for life in usable
         }
-        doubt = {life: self.agent_by_minion[life].health.doubt(now) for life in usable}
-        return Outlook(
+        return PlanContext(
             wall_ms(),
             usable,
-            doubt,
+            avoidance,
             permitted,
             self.durations,
-            self.terms.far_factor,
+            self.terms.cross_rack_slowdown,
             self.rack_waited_ms(now),
             suspect_view(self) if self.table.crashes else SuspectView(),
             self.restarts.paused(now),
@@ -494,7 +501,7 @@
 
     def open_due_rounds(self):
         """Open the rounds of repeated jobs that are due."""
-        now_ms = wall_ms() + self.terms.early_ms
+        now_ms = wall_ms() + self.terms.max_early_ms
         due = []
         for job_id in self.table.repeated_jobs:
             job = self.table.job_by_id[job_id]
@@ -504,8 +511,8 @@
         if due:
             self.propose(OpenRounds(tuple(due)))
 
-    def note_beat(self, minion_id, clock_ms):
+    def note_heartbeat(self, minion_id, clock_ms):
         """Pass the heartbeat of a minion to its agent, if it has one."""
         agent = self.agent_by_minion.get(minion_id)
         if agent is not None:
-            agent.note_beat(clock_ms)
+            agent.note_heartbeat(clock_ms)
--- a/hingepitch/jobs/spec.py
+++ b/hingepitch/jobs/spec.py
@@ -17,9 +17,9 @@
     "JobSpec",
     "Step",
     "TaskKey",
-    "chain_from_ms",
+    "critical_path_from_ms",
     "check_spec",
-    "longest_chain_ms",
+    "critical_path_ms",
 ]
 
 #: Limits of one job, so that a single job cannot fill the log or the memory.
@@ -153,7 +153,7 @@
         raise HingepitchError("bad_job", f"step {number}: not after an earlier step")
 
 
-def longest_chain_ms(steps, expected_ms):
+def critical_path_ms(steps, expected_ms):
     """Return the length of the critical path through `steps`, in milliseconds.
 
     `expected_ms`
@@ -166,7 +166,7 @@
     return max(ends, default=0)
 
 
-def chain_from_ms(steps, first, expected_ms):
+def critical_path_from_ms(steps, first, expected_ms):
     """Return the length of the critical path from step `first`, in milliseconds."""
     ends = {first: expected_ms(steps[first])}
     for number in range(first + 1, len(steps)):
--- a/hingepitch/jobs/table.py
+++ b/hingepitch/jobs/table.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from hingepitch.jobs.command import RunEnd
-from hingepitch.jobs.crash import CrashBook, CrashRecord, LifeBlame
+from hingepitch.jobs.crash import CrashRecord, CrashRegistry, LifeBlame
 from hingepitch.jobs.queue import QueueConfig, QueueIndex
 from hingepitch.jobs.record import (
     JobRecord,
@@ -31,7 +31,7 @@
 )
 from hingepitch.jobs.spec import format_task
 
-__all__ = ["JobTable", "Room", "StepKey", "TableContent", "lost_run_end"]
+__all__ = ["JobTable", "ResourceUsage", "StepKey", "TableContent", "lost_run_end"]
 
 #: How long an ended job is kept for status requests, in milliseconds: twice the
 #: 120 s that callers may count on, to allow for clock differences. Above
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True)
-class Room:
+class ResourceUsage:
     """The resources that the runs on a minion use."""
 
     cpu_millicores: int = 0
@@ -110,22 +110,22 @@
     `repeated_jobs`
         Open jobs with rounds that have not been opened.
     `taken_by_minion`
-        The `Room` that runs use, by minion incarnation.
-    `carried_by_step`
+        The `ResourceUsage` that runs use, by minion incarnation.
+    `run_counts_by_step`
         The number of runs by minion incarnation, by step.
-    `touched_minions`
+    `changed_minions`
         Minion incarnations whose runs, or the jobs of their runs, have changed;
         the leader empties it.
     `move_by_vm`
         The target pool of each VM that is being moved.
-    `pending_by_place`
+    `pending_by_route`
         The number of pending jobs, by host and path prefix of the queue.
     `arrived_jobs`
         Jobs accepted since the last `take_arrived_jobs`, at most the latest
         `MAX_ARRIVED_JOBS`.
     `crashes`
-        The `CrashBook`.
-    `has_had_work`
+        The `CrashRegistry`.
+    `has_seen_batch_job`
         Whether a job with tasks that are not long-running was ever accepted.
     """
 
@@ -138,18 +138,18 @@
         self.run_by_task = {}
         self.runs_by_minion = {}
         self.taken_by_minion = {}
-        self.carried_by_step = {}
+        self.run_counts_by_step = {}
         self.wave_by_number = {}
         self.move_by_vm = {}
         self.ended_lives = {}
         self.ended_jobs = {}
         self.ready_steps = {}
         self.repeated_jobs = {}
-        self.touched_minions = set()
-        self.pending_by_place = Counter()
+        self.changed_minions = set()
+        self.pending_by_route = Counter()
         self.arrived_jobs = deque(maxlen=MAX_ARRIVED_JOBS)
-        self.crashes = CrashBook()
-        self.has_had_work = False
+        self.crashes = CrashRegistry()
+        self.has_seen_batch_job = False
 
     def put_config(self, config):
         """Set the configuration; None before the first one."""
@@ -161,16 +161,16 @@
         self.job_by_id[job.id] = job
         self.note_batch_job(job)
         self.arrived_jobs.append(job.id)
-        self.pending_by_place[job.queue.place] += 1
+        self.pending_by_route[job.queue.route] += 1
         if job.spec.times:
             self.repeated_jobs[job.id] = None
         else:
             self.open_round(job)
 
     def note_batch_job(self, job):
-        """Set `has_had_work` if `job` has tasks that are not long-running."""
-        if not self.has_had_work:
-            self.has_had_work = any(not step.lasts for step in job.spec.steps)
+        """Set `has_seen_batch_job` if `job` has tasks that are not long-running."""
+        if not self.has_seen_batch_job:
+            self.has_seen_batch_job = any(not step.lasts for step in job.spec.steps)
 
     def take_arrived_jobs(self):
         """Return the ids of the jobs accepted since the last call."""
@@ -221,7 +221,7 @@
         self.repeated_jobs.pop(job.id, None)
         self.crashes.forget_job(job.id)
         self.ended_jobs[job.id] = at_ms
-        self.touched_minions.update(
+        self.changed_minions.update(
             run.minion for run in self.run_by_task.values() if run.task.job == job.id
         )
 
@@ -229,7 +229,7 @@
         """Mark a pending `job` as running."""
         if job.status is JobStatus.PENDING:
             job.status = JobStatus.RUNNING
-            self.pending_by_place[job.queue.place] -= 1
+            self.pending_by_route[job.queue.route] -= 1
 
     def forget_ended_jobs(self, now_ms):
         """Delete the ended jobs whose retention has expired, the oldest first."""
@@ -246,7 +246,7 @@
 
         A queue that is no longer configured applies as it was at acceptance.
         """
-        return self.queues.queue_by_route.get(job.queue.place, job.queue)
+        return self.queues.queue_by_route.get(job.queue.route, job.queue)
 
     def task(self, key):
         """Return the task `key`, or None if its round is not open."""
@@ -258,24 +258,24 @@
         """Add a run that may be active."""
         step = run.task[:3]
         self.run_by_task[run.task] = run
-        self.touched_minions.add(run.minion)
+        self.changed_minions.add(run.minion)
         self.runs_by_minion.setdefault(run.minion, {})[run.task] = run
-        self.taken_by_minion.setdefault(run.minion, Room()).add(run)
-        self.carried_by_step.setdefault(step, Counter())[run.minion] += 1
+        self.taken_by_minion.setdefault(run.minion, ResourceUsage()).add(run)
+        self.run_counts_by_step.setdefault(step, Counter())[run.minion] += 1
 
     def drop_run(self, run):
         """Remove a run that is confirmed ended."""
         step = run.task[:3]
         del self.run_by_task[run.task]
-        self.touched_minions.add(run.minion)
+        self.changed_minions.add(run.minion)
         del self.runs_by_minion[run.minion][run.task]
         self.taken_by_minion[run.minion].add(run, -1)
-        carried = self.carried_by_step[step]
+        carried = self.run_counts_by_step[step]
         carried[run.minion] -= 1
         if not carried[run.minion]:
             del carried[run.minion]
         if not carried:
-            del self.carried_by_step[step]
+            del self.run_counts_by_step[step]
 
     def start_run(self, start, number, at_ms):
         """Record a new run of a task."""
@@ -398,14 +398,14 @@
         if self.move_by_vm.get(minion.vm) == minion.pool:
             del self.move_by_vm[minion.vm]
         self.runs_by_minion.setdefault(minion.id, {})
-        self.taken_by_minion.setdefault(minion.id, Room())
+        self.taken_by_minion.setdefault(minion.id, ResourceUsage())
 
     def remove_minion(self, life, at_ms):
         """End a minion incarnation and its runs; record a crash unless planned."""
         minion = self.minion_by_id.pop(life, None)
         if minion is None:
             return
-        blame = self.crashes.acquit(life)
+        blame = self.crashes.clear_suspicion(life)
         is_planned = self.is_leaving(minion)
         for run in list(self.runs_by_minion.get(life, {}).values()):
             self.end_run(lost_run_end(run), at_ms)
@@ -485,7 +485,9 @@
         table.ended_jobs = {job.id: job.ended_ms for job in ended}
         for run in content.runs:
             table.add_run(run)
-        table.crashes = CrashBook.from_content(content.crashes, content.silent_lives)
+        table.crashes = CrashRegistry.from_content(
+            content.crashes, content.silent_lives
+        )
         return table
 
     def restore_job(self, job):
@@ -493,7 +495,7 @@
         self.job_by_id[job.id] = job
         self.note_batch_job(job)
         if job.status is JobStatus.PENDING:
-            self.pending_by_place[job.queue.place] += 1
+            self.pending_by_route[job.queue.route] += 1
         if job.is_open and job.rounds_opened < job.rounds_wanted:
             self.repeated_jobs[job.id] = None
         for number in job.round_by_number:
--- a/hingepitch/jobs/upkeep.py
+++ b/hingepitch/jobs/upkeep.py
@@ -18,7 +18,7 @@
 from hingepitch.jobs.watch import UPKEEP_REASON
 from hingepitch.log import log_event
 
-__all__ = ["UpkeepDesk", "needed_at_once", "patience_seconds"]
+__all__ = ["UpkeepController", "required_concurrency", "drain_grace_seconds"]
 
 #: Time between two passes over the waves, in seconds.
 STEP_SECONDS = 0.2
@@ -53,7 +53,7 @@
 DEADLINE_PART = 0.7
 
 
-def patience_seconds(seconds_left, waiting, max_down, upkeep_seconds):
+def drain_grace_seconds(seconds_left, waiting, max_down, upkeep_seconds):
     """Return how long a VM may drain before its runs are stopped, in seconds.
 
     The time that is left beyond the maintenance of the `waiting` VMs, divided
@@ -64,7 +64,7 @@
     return max(0.0, spare / max(1, batches))
 
 
-def needed_at_once(seconds_left, waiting, upkeep_seconds):
+def required_concurrency(seconds_left, waiting, upkeep_seconds):
     """Return how many VMs must be down at once for a wave to meet its deadline.
 
     Plans with `DEADLINE_PART` of the time that is left, so that a change of
@@ -75,7 +75,7 @@
     return -(-waiting // max(1, batches))
 
 
-class UpkeepDesk:
+class UpkeepController:
     """Carries out maintenance waves during one leadership.
 
     `session`
@@ -89,7 +89,7 @@
         When the draining of each chosen VM began; kept until it is back.
     `life_before_by_vm`
         The incarnations that the maintenance ordered by this leadership ends.
-    `calling`
+    `vms_in_call`
         VMs with a call to the platform in progress.
     `settled_at_by_vm`
         When the platform confirmed the order of a maintenance.
@@ -106,7 +106,7 @@
         self.upkeep_seconds = upkeep_seconds
         self.leaving_since_by_vm = {}
         self.life_before_by_vm = {}
-        self.calling = set()
+        self.vms_in_call = set()
         self.settled_at_by_vm = {}
         self.unlisted_since_by_vm = {}
         self.row_by_vm = {}
@@ -160,11 +160,11 @@
         While a pool is short of VMs, a wave takes down only as many as it needs
         to meet its deadline, since waiting tasks could use the others.
         """
-        if not self.session.mover.is_lacking:
+        if not self.session.mover.has_shortage:
             return wave.max_down
         seconds_left = (wave.due_ms - wall_ms()) / 1000
         waiting = len(wave.vms_waiting)
-        needed = needed_at_once(seconds_left, waiting, self.upkeep_seconds)
+        needed = required_concurrency(seconds_left, waiting, self.upkeep_seconds)
         return min(wave.max_down, needed)
 
     def runs_on(self, vm):
@@ -176,7 +176,7 @@
         """Begin the maintenance of drained VMs and evacuate the other chosen ones."""
         waiting = wave.vms_waiting
         seconds_left = (wave.due_ms - wall_ms()) / 1000
-        grace = patience_seconds(
+        grace = drain_grace_seconds(
             seconds_left, len(waiting), wave.max_down, self.upkeep_seconds
         )
         for vm in waiting:
@@ -202,7 +202,7 @@
             if step is None:
                 continue
             if step.lasts:
-                may_stop = self.session.watch.may_be_away(run, step)
+                may_stop = self.session.watch.is_within_budget(run, step)
             else:
                 may_stop = is_late
             if may_stop:
@@ -217,9 +217,9 @@
 
     def call_once_at_a_time(self, wave, vm):
         """Order the maintenance of a VM, unless a call for it is in progress."""
-        if vm not in self.calling:
-            self.calling.add(vm)
-            self.session.spawn_apart("upkeep", self.call, wave, vm)
+        if vm not in self.vms_in_call:
+            self.vms_in_call.add(vm)
+            self.session.spawn_guarded("upkeep", self.call, wave, vm)
 
     def call(self, wave, vm):
         """Order the maintenance of a VM from the platform and record the outcome."""
@@ -237,7 +237,7 @@
             )
             self.settle(wave, vm, reply)
         finally:
-            self.calling.discard(vm)
+            self.vms_in_call.discard(vm)
 
     def settle(self, wave, vm, reply):
         """Act on the platform's answer, and record it if it is final."""
@@ -300,11 +300,11 @@
         maintenance time must have passed.
         """
         before = self.life_before_by_vm.get(vm, agent.minion.id)
-        if agent.met_at > settled_at + NEW_LIFE_PART * self.upkeep_seconds:
+        if agent.first_seen_at > settled_at + NEW_LIFE_PART * self.upkeep_seconds:
             return True
         if agent.minion.id == before:
             return False
-        return agent.beat_at > settled_at + self.upkeep_seconds / 2
+        return agent.last_heartbeat_at > settled_at + self.upkeep_seconds / 2
 
     def is_listed_back(self, vm, settled_at, now):
         """Whether the platform's list shows that a VM has left maintenance.
--- a/hingepitch/jobs/watch.py
+++ b/hingepitch/jobs/watch.py
@@ -10,8 +10,8 @@
 """
 
 from hingepitch.clock import lease_seconds
-from hingepitch.jobs.health import is_hung
-from hingepitch.jobs.pace import Neighbour, next_percent
+from hingepitch.jobs.health import is_stalled
+from hingepitch.jobs.pace import ServingTask, next_percent
 from hingepitch.jobs.record import RunResult
 from hingepitch.jobs.runview import RunViewStatus
 from hingepitch.jobs.spec import format_task
@@ -30,7 +30,7 @@
 #: Long-poll wait on a minion where a long-running task is warming up, in
 #: milliseconds, and how long after its start this wait applies, in seconds. Until
 #: the task is seen at work, it counts against its step's disruption budget.
-WARMING_LOOK_MS = 200
+WARMING_POLL_MS = 200
 WARMING_SECONDS = 2.0
 
 #: Evacuation reason that is subject to the disruption budget of the run's step. A
@@ -39,7 +39,7 @@
 
 #: Number of stops for a stall after which the stall timeout of a task doubles with
 #: each further stop, and the maximum number of doublings.
-MAX_STALLS = 4
+STALLS_BEFORE_DOUBLING = 4
 MAX_DOUBLINGS = 5
 
 #: Maximum number of stalled tasks that are remembered; the oldest are dropped.
@@ -78,7 +78,7 @@
         if agent is not None:
             agent.wake.set()
 
-    def may_be_away(self, run, step):
+    def is_within_budget(self, run, step):
         """Whether the disruption budget of `step` lets a long-running task stop."""
         if step.max_away is None:
             return True
@@ -95,7 +95,7 @@
         Until then a status poll may list tasks as at work that are about to end.
         """
         age = lease_seconds() - self.session.started_at
-        return age >= self.session.terms.lapse_seconds
+        return age >= self.session.terms.expiry_delay_seconds
 
     def exceeds_budget(self, run):
         """Whether a stop for maintenance would now exceed the disruption budget.
@@ -107,7 +107,7 @@
         step = self.session.step_of(run)
         if self.evacuated.get((run.task, run.number)) != UPKEEP_REASON or step is None:
             return False
-        return step.lasts and not self.may_be_away(run, step)
+        return step.lasts and not self.is_within_budget(run, step)
 
     def withdraw_evacuation(self, run):
         """Withdraw an evacuation for maintenance; it may be decided again later."""
@@ -128,7 +128,7 @@
         """
         run = self.session.table.run_by_task.get(task)
         agent = run and self.session.agent_by_minion.get(run.minion)
-        if not agent or agent.is_silent:
+        if not agent or agent.is_unresponsive:
             return False
         view = agent.view_by_task.get(task)
         if agent.is_gone or not view or view.has_ended:
@@ -144,19 +144,19 @@
         steps = [(view, self.session.step_of(view.run)) for view in views]
         return [view for view, step in steps if step and step.fills_spare_cpu]
 
-    def neighbours(self, agent):
-        """Yield a `Neighbour` for each serving task that a minion has listed."""
+    def serving_tasks(self, agent):
+        """Yield a `ServingTask` for each serving task that a minion has listed."""
         for view in agent.view_by_task.values():
             step = self.session.step_of(view.run)
             if step and step.target_ms and view.row is not None:
-                yield Neighbour(view.row.load, step.target_ms)
+                yield ServingTask(view.row.load, step.target_ms)
 
-    def look_wait_ms(self, agent):
+    def poll_wait_ms(self, agent):
         """Return how long a status poll may wait for an end, in milliseconds."""
-        longest = self.session.terms.look_wait_ms
+        longest = self.session.terms.poll_wait_ms
         if self.has_warming(agent):
-            return min(WARMING_LOOK_MS, longest)
-        if self.fillers(agent) and any(self.neighbours(agent)):
+            return min(WARMING_POLL_MS, longest)
+        if self.fillers(agent) and any(self.serving_tasks(agent)):
             return min(SHARED_POLL_MS, longest)
         if self.has_ending(agent):
             return min(BUSY_POLL_MS, longest)
@@ -192,8 +192,10 @@
                 continue
             if step.fills_spare_cpu:
                 continue
-            patience = self.patience(view.run.task)
-            if not is_hung(view.row_since, agent.looks.looked_at, step.gang, patience):
+            stall_factor = self.stall_factor(view.run.task)
+            if not is_stalled(
+                view.row_since, agent.looks.polled_at, step.gang, stall_factor
+            ):
                 continue
             if self.session.is_wanted(view.run):
                 self.note_stall(view.run.task)
@@ -206,13 +208,13 @@
         while len(self.stalls_by_task) > MAX_STALLED_TASKS:
             del self.stalls_by_task[next(iter(self.stalls_by_task))]
 
-    def patience(self, task):
+    def stall_factor(self, task):
         """Return the factor by which the stall timeout of a task is extended.
 
         A task that stalls on every minion is stopped less and less often, as it
         would otherwise be restarted over and over and keep no progress.
         """
-        doublings = self.stalls_by_task.get(task, 0) - MAX_STALLS
+        doublings = self.stalls_by_task.get(task, 0) - STALLS_BEFORE_DOUBLING
         return 2 ** min(max(0, doublings), MAX_DOUBLINGS)
 
     def pace_fillers(self, agent):
@@ -220,7 +222,7 @@
         fillers = self.fillers(agent)
         if not fillers:
             return
-        percent = next_percent(agent.filler_percent, list(self.neighbours(agent)))
+        percent = next_percent(agent.filler_percent, list(self.serving_tasks(agent)))
         agent.filler_percent = percent
         for view in fillers:
             if view.percent != percent and view.status is RunViewStatus.RUNNING:
--- a/hingepitch/model/explain.py
+++ b/hingepitch/model/explain.py
@@ -11,7 +11,7 @@
 from functools import partial
 
 from hingepitch.error import HingepitchError
-from hingepitch.model.record import JobState, Life
+from hingepitch.model.record import JobState, VmLifecycle
 from hingepitch.model.selector import matches
 
 __all__ = ["explain", "job_obstacles", "leave_obstacles", "vm_obstacles"]
@@ -19,7 +19,7 @@
 
 def leave_obstacles(state, vm):
     """Yield each reason why `vm` may not leave for maintenance now."""
-    if vm.life is not Life.LIVE:
+    if vm.life is not VmLifecycle.LIVE:
         yield f"the VM is {vm.life.value}"
     for service in state.services_of(vm):
         down = state.count_down(service)
@@ -29,7 +29,7 @@
 
 def vm_obstacles(state, job, vm):
     """Yield each reason why `job` may not run on `vm` now."""
-    if vm.life is not Life.LIVE:
+    if vm.life is not VmLifecycle.LIVE:
         yield f"the VM is {vm.life.value}"
     if not matches(job.selector, vm.labels):
         yield "selector: no match"
--- a/hingepitch/model/record.py
+++ b/hingepitch/model/record.py
@@ -18,7 +18,7 @@
     "EntryRecord",
     "Job",
     "JobState",
-    "Life",
+    "VmLifecycle",
     "Permit",
     "PLACED_STATES",
     "PlannerLease",
@@ -31,7 +31,7 @@
 ]
 
 
-class Life(enum.Enum):
+class VmLifecycle(enum.Enum):
     """State of a VM in its lifecycle."""
 
     LIVE = "live"
@@ -87,7 +87,7 @@
     cores: int = 0
     memory_gb: int = 0
     accelerators: int = 0
-    life: Life = Life.LIVE
+    life: VmLifecycle = VmLifecycle.LIVE
     maintained_version: int = 0
     maintained_at_seconds: int = 0
     version: int = 0
--- a/hingepitch/model/rules/declaration.py
+++ b/hingepitch/model/rules/declaration.py
@@ -11,7 +11,7 @@
 from dataclasses import asdict, replace
 
 from hingepitch.model import command as commands
-from hingepitch.model.record import Campaign, Life, Pool, Service, Team, Vm
+from hingepitch.model.record import Campaign, Pool, Service, Team, Vm, VmLifecycle
 from hingepitch.model.rule import (
     Refusal,
     apply_command,
@@ -38,7 +38,7 @@
         if command.pool != before.pool:
             raise Refusal("pool_is_decided", f"VM {before.name} is in {before.pool}")
         vm = replace(before, **asdict(command))
-        if before.life is not Life.LIVE:
+        if before.life is not VmLifecycle.LIVE:
             check_relabelled(state, before, vm)
     state.put("vm", vm.name, vm, index)
 
@@ -91,8 +91,8 @@
         raise Refusal("forbidden", f"a {command.kind} cannot be deleted")
     record = require(state, command.kind, command.name, envelope.partner)
     if command.kind == "vm":
-        check_lifecycle(record, Life.LIVE, Life.DRAINED, Life.LOST)
-        if record.life is Life.LIVE:
+        check_lifecycle(record, VmLifecycle.LIVE, VmLifecycle.DRAINED, VmLifecycle.LOST)
+        if record.life is VmLifecycle.LIVE:
             check_budgets(state, record)
     if command.kind == "pool" and state.vms_by_pool[record.name]:
         raise Refusal("bad_object", f"pool {record.name} still has VMs")
--- a/hingepitch/model/rules/job.py
+++ b/hingepitch/model/rules/job.py
@@ -11,7 +11,7 @@
 from dataclasses import asdict, replace
 
 from hingepitch.model import command as commands
-from hingepitch.model.record import PLACED_STATES, Job, JobState, Life
+from hingepitch.model.record import PLACED_STATES, Job, JobState, VmLifecycle
 from hingepitch.model.rule import Refusal, apply_command, check_lifecycle, require
 from hingepitch.model.selector import matches, parse_selector
 
@@ -62,7 +62,7 @@
     vm = require(state, "vm", command.vm)
     if job.state is not JobState.WAITING:
         raise Refusal("wrong_life", f"job {job.name} is {job.state.value}")
-    check_lifecycle(vm, Life.LIVE)
+    check_lifecycle(vm, VmLifecycle.LIVE)
     if vm.pool != job.pool or not matches(job.selector, vm.labels):
         raise Refusal("not_selected", f"job {job.name} does not select {vm.name}")
     check_room(state, job, vm)
--- a/hingepitch/model/rules/maintenance.py
+++ b/hingepitch/model/rules/maintenance.py
@@ -12,7 +12,13 @@
 from dataclasses import replace
 
 from hingepitch.model import command as commands
-from hingepitch.model.record import EntryRecord, Life, Permit, PlannerLease, Purpose
+from hingepitch.model.record import (
+    EntryRecord,
+    Permit,
+    PlannerLease,
+    Purpose,
+    VmLifecycle,
+)
 from hingepitch.model.rule import (
     Refusal,
     apply_command,
@@ -43,13 +49,13 @@
 @apply_command.register
 def _(command: commands.GrantPermit, state, envelope, index):
     vm = require(state, "vm", command.vm)
-    check_lifecycle(vm, Life.LIVE)
+    check_lifecycle(vm, VmLifecycle.LIVE)
     check_budgets(state, vm)
     if command.purpose is Purpose.MOVE:
         check_move(state, vm, command.to_pool)
     permit = Permit(command.vm, command.purpose, command.boot_id, command.to_pool)
     state.put("permit", vm.name, permit, index)
-    state.put("vm", vm.name, replace(vm, life=Life.LEAVING), index)
+    state.put("vm", vm.name, replace(vm, life=VmLifecycle.LEAVING), index)
 
 
 def check_move(state, vm, to_pool_name):
@@ -82,22 +88,22 @@
 def _(command: commands.MarkDrained, state, envelope, index):
     vm = require(state, "vm", command.vm)
     require(state, "permit", command.vm)
-    check_lifecycle(vm, Life.LEAVING)
+    check_lifecycle(vm, VmLifecycle.LEAVING)
     if state.jobs_by_vm[vm.name]:
         raise Refusal("not_drained", f"jobs run on VM {vm.name}")
-    state.put("vm", vm.name, replace(vm, life=Life.DRAINED), index)
+    state.put("vm", vm.name, replace(vm, life=VmLifecycle.DRAINED), index)
 
 
 @apply_command.register
 def _(command: commands.ReturnVm, state, envelope, index):
     vm = require(state, "vm", command.vm)
     permit = require(state, "permit", command.vm)
-    check_lifecycle(vm, Life.DRAINED, Life.LOST)
+    check_lifecycle(vm, VmLifecycle.DRAINED, VmLifecycle.LOST)
     if permit.boot_id == command.boot_id:
         raise Refusal("wrong_boot", f"VM {vm.name} has not rebooted yet")
     returned = replace(
         vm,
-        life=Life.LIVE,
+        life=VmLifecycle.LIVE,
         maintained_version=index,
         maintained_at_seconds=state.now_seconds,
     )
@@ -109,7 +115,7 @@
 def _(command: commands.MoveVm, state, envelope, index):
     vm = require(state, "vm", command.vm)
     permit = require(state, "permit", command.vm)
-    check_lifecycle(vm, Life.DRAINED)
+    check_lifecycle(vm, VmLifecycle.DRAINED)
     if vm.pool != command.from_pool:
         raise Refusal("wrong_pool", f"VM {vm.name} is in {vm.pool}")
     if not is_moving(permit) or permit.to_pool != command.to_pool:
@@ -118,23 +124,23 @@
         )
     require(state, "pool", command.to_pool)
     state.drop("permit", vm.name, index)
-    moved = replace(vm, pool=command.to_pool, life=Life.LIVE)
+    moved = replace(vm, pool=command.to_pool, life=VmLifecycle.LIVE)
     state.put("vm", vm.name, moved, index)
 
 
 @apply_command.register
 def _(command: commands.ReportLost, state, envelope, index):
     vm = require(state, "vm", command.vm)
-    check_lifecycle(vm, Life.LIVE, Life.LEAVING)
-    state.put("vm", vm.name, replace(vm, life=Life.LOST), index)
+    check_lifecycle(vm, VmLifecycle.LIVE, VmLifecycle.LEAVING)
+    state.put("vm", vm.name, replace(vm, life=VmLifecycle.LOST), index)
 
 
 @apply_command.register
 def _(command: commands.ReportHealthy, state, envelope, index):
     vm = require(state, "vm", command.vm)
-    check_lifecycle(vm, Life.LOST)
+    check_lifecycle(vm, VmLifecycle.LOST)
     permit = state.get("permit", vm.name)
-    life = Life.LIVE if permit is None else Life.LEAVING
+    life = VmLifecycle.LIVE if permit is None else VmLifecycle.LEAVING
     state.put("vm", vm.name, replace(vm, life=life), index)
 
 
--- a/hingepitch/model/state.py
+++ b/hingepitch/model/state.py
@@ -18,7 +18,7 @@
 from hingepitch.model.codec import DECODE_ERRORS, ENCODER, RECORD_DECODER_BY_KIND
 from hingepitch.model.command import Outcome
 from hingepitch.model.index import Index
-from hingepitch.model.record import PLACED_STATES, RECORD_BY_KIND, JobState, Life
+from hingepitch.model.record import PLACED_STATES, RECORD_BY_KIND, JobState, VmLifecycle
 from hingepitch.model.selector import matches
 
 __all__ = ["Feed", "PLANNING_KINDS", "ROUTING_KINDS", "State"]
@@ -136,7 +136,7 @@
         """Add `record` to the indices."""
         if kind == "vm":
             self.vms_by_pool.add(record.pool, key, record)
-            if record.life is not Life.LIVE:
+            if record.life is not VmLifecycle.LIVE:
                 self.down_by_pool.add(record.pool, key, record)
         elif kind == "service":
             self.services_by_pool.add(record.pool, key, record)
@@ -201,7 +201,7 @@
             (kind, key) for kind in sorted(feed.kinds) for key in self.by_kind[kind]
         ]
 
-    def follow(self, changes, version, full):
+    def apply_changes(self, changes, version, full):
         """Apply the changes of a feed to this copy, up to `version`."""
         if full:
             for kind in RECORD_BY_KIND:
--- a/hingepitch/model/border.py
+++ b/hingepitch/model/validation.py
@@ -1,6 +1,6 @@
 """
-hingepitch.model.border
-~~~~~~~~~~~~~~~~~~~~~~~
+hingepitch.model.validation
+~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
 Validates the objects that operators submit, by kind, and turns them into
 commands.
--- a/hingepitch/planner/placement.py
+++ b/hingepitch/planner/placement.py
@@ -11,11 +11,11 @@
 
 from hingepitch.model.command import EndJob, PlaceJob
 from hingepitch.model.explain import vm_obstacles
-from hingepitch.model.record import JobState, Life
+from hingepitch.model.record import JobState, VmLifecycle
 from hingepitch.planner.step import Propose, RenewTasks, StartTask, StopTask
 from hingepitch.planner.view import TaskState
 
-__all__ = ["Suspicion", "plan_jobs", "plan_tasks"]
+__all__ = ["VmQuarantine", "plan_jobs", "plan_tasks"]
 
 #: Attempts of a job after which it counts as failed.
 MAX_ATTEMPTS = 3
@@ -32,7 +32,7 @@
 MAX_PLACEMENTS_PER_PASS = 256
 
 
-class Suspicion:
+class VmQuarantine:
     """Quarantines VMs on which different jobs fail, one after another.
 
     A job that ends well on a VM clears the evidence against the VM.
@@ -43,7 +43,7 @@
         self.quarantined_until_by_vm = {}
         self.counted_tasks = set()
 
-    def learn(self, task_by_name, now):
+    def count_ended_tasks(self, task_by_name, now):
         """Count the tasks that ended, each only once."""
         self.counted_tasks &= task_by_name.keys()
         for name, task in task_by_name.items():
@@ -68,7 +68,7 @@
         self.failed_jobs_by_vm.pop(vm, None)
         self.quarantined_until_by_vm.pop(vm, None)
 
-    def is_suspect(self, vm, now):
+    def is_quarantined(self, vm, now):
         """Whether `vm` is quarantined at `now` and gets no jobs."""
         return now < self.quarantined_until_by_vm.get(vm, 0.0)
 
@@ -127,7 +127,7 @@
     return sorted(jobs, key=lambda job: (not job.urgent, job.version, job.name))
 
 
-def best_vm(state, room, job, is_suspect):
+def best_vm(state, room, job, is_quarantined):
     """Return the VM for `job`, or None if it fits on no VM.
 
     Prefers VMs with few accelerators, then those with few spare cores, where
@@ -135,7 +135,7 @@
     """
     best = None
     for vm in state.vms_by_pool[job.pool].values():
-        if vm.life is not Life.LIVE or is_suspect(vm.name):
+        if vm.life is not VmLifecycle.LIVE or is_quarantined(vm.name):
             continue
         if any(True for _ in vm_obstacles(state, job, vm)):
             continue
@@ -148,7 +148,7 @@
     return best and best[1]
 
 
-def plan_jobs(state, is_suspect, pools):
+def plan_jobs(state, is_quarantined, pools):
     """Yield placements of the jobs that wait for a VM of `pools`."""
     room = FreeCapacity(state)
     placed = 0
@@ -159,7 +159,7 @@
             return
         if not room.within_quota(job):
             continue
-        vm = best_vm(state, room, job, is_suspect)
+        vm = best_vm(state, room, job, is_quarantined)
         if vm is not None:
             room.take(job, vm)
             placed += 1
@@ -195,7 +195,7 @@
 def must_stop(state, job):
     """Whether a running job must stop: it is cancelled, or its VM is leaving."""
     vm = state.get("vm", job.vm)
-    leaving = vm is None or vm.life is Life.LEAVING
+    leaving = vm is None or vm.life is VmLifecycle.LEAVING
     return job.state is JobState.STOPPING or leaving
 
 
--- a/hingepitch/planner/program.py
+++ b/hingepitch/planner/program.py
@@ -27,9 +27,9 @@
 from hingepitch.model.command import TakePlannerLease
 from hingepitch.model.state import State
 from hingepitch.planner.executor import Executor
-from hingepitch.planner.placement import Suspicion, plan_jobs, plan_tasks
+from hingepitch.planner.placement import VmQuarantine, plan_jobs, plan_tasks
 from hingepitch.planner.platform import TASK_LEASE_SECONDS, PlatformClient
-from hingepitch.planner.scope import Scope
+from hingepitch.planner.scope import PassScope
 from hingepitch.planner.settings import PlannerSettings
 from hingepitch.planner.view import PlatformView
 from hingepitch.planner.wave import plan_drains, plan_health, plan_moves, plan_wave
@@ -59,8 +59,8 @@
         self.state = State()
         self.version = 0
         self.view = PlatformView()
-        self.suspicion = Suspicion()
-        self.scope = Scope()
+        self.quarantine = VmQuarantine()
+        self.scope = PassScope()
         self.lease_until = 0.0
         self.poll_due = 0.0
         self.full_pass_due = 0.0
@@ -122,7 +122,7 @@
         for kind, key, record in objects:
             self.scope.note_change(self.state, kind, key, record)
         self.scope.is_full |= changes.full
-        self.state.follow(objects, changes.version, changes.full)
+        self.state.apply_changes(objects, changes.version, changes.full)
         self.version = changes.version
 
     def poll_platform(self, now):
@@ -132,7 +132,7 @@
         before = self.view
         self.view = self.platform.view(before.unhealthy_since_by_vm, now)
         self.scope.note_view(self.state, before, self.view)
-        self.suspicion.learn(self.view.task_by_name, now)
+        self.quarantine.count_ended_tasks(self.view.task_by_name, now)
         self.poll_due = now + self.settings.platform_seconds
         return True
 
@@ -158,11 +158,11 @@
             self.scope.is_full = True
             self.full_pass_due = now + self.settings.full_pass_seconds
         pools = self.scope.take(self.state)
-        is_suspect = partial(self.suspicion.is_suspect, now=now)
+        is_quarantined = partial(self.quarantine.is_quarantined, now=now)
         lost_after = self.settings.lost_after_seconds
         yield from plan_health(self.state, self.view, now, lost_after)
         yield from plan_tasks(self.state, self.view, self.is_renewal_due(now, polled))
-        yield from plan_jobs(self.state, is_suspect, pools)
+        yield from plan_jobs(self.state, is_quarantined, pools)
         yield from plan_drains(self.state, self.view)
         yield from plan_moves(self.state, self.view, pools)
         yield from plan_wave(self.state, self.view, wall_seconds(), pools)
--- a/hingepitch/planner/scope.py
+++ b/hingepitch/planner/scope.py
@@ -11,14 +11,14 @@
 
 from hingepitch.model.record import PLACED_STATES
 
-__all__ = ["Scope"]
+__all__ = ["PassScope"]
 
 #: Kinds of records that do not belong to a single pool. A change of any of them
 #: but the planner lease makes the next pass examine all pools.
 GLOBAL_KINDS = frozenset(("pool", "team", "campaign", "planner_lease"))
 
 
-class Scope:
+class PassScope:
     """The pools with changes since the last pass.
 
     Budgets, waves and placement never depend on more than one pool, so a pass
--- a/hingepitch/planner/wave.py
+++ b/hingepitch/planner/wave.py
@@ -18,7 +18,7 @@
     ReportLost,
     ReturnVm,
 )
-from hingepitch.model.record import Life, Purpose
+from hingepitch.model.record import Purpose, VmLifecycle
 from hingepitch.model.selector import matches
 from hingepitch.planner.step import CheckDrained, Propose, Reboot
 
@@ -87,7 +87,7 @@
     losses = {}
     for name in state.by_kind["permit"]:
         vm = state.get("vm", name)
-        if vm is not None and vm.life is Life.LOST:
+        if vm is not None and vm.life is VmLifecycle.LOST:
             losses[vm.partner] = losses.get(vm.partner, 0) + 1
     return {partner for partner, count in losses.items() if count >= CORRELATED_LOSSES}
 
@@ -100,7 +100,7 @@
         return
     for pool in pools:
         for vm in state.vms_by_pool[pool].values():
-            if vm.life is not Life.LIVE or vm.partner in halted:
+            if vm.life is not VmLifecycle.LIVE or vm.partner in halted:
                 continue
             if not is_reported_healthy(view, vm.name):
                 continue
@@ -162,12 +162,12 @@
         vm = state.get("vm", permit.vm)
         if vm is None:
             continue
-        if vm.life is Life.LEAVING:
+        if vm.life is VmLifecycle.LEAVING:
             if not state.jobs_by_vm[vm.name]:
                 yield CheckDrained(vm.name)
-        elif vm.life is Life.DRAINED and permit.purpose is Purpose.MOVE:
+        elif vm.life is VmLifecycle.DRAINED and permit.purpose is Purpose.MOVE:
             yield Propose(MoveVm(vm.name, vm.pool, permit.to_pool))
-        elif vm.life is Life.DRAINED:
+        elif vm.life is VmLifecycle.DRAINED:
             yield from plan_reboot(vm, permit, view)
 
 
@@ -184,12 +184,12 @@
     """Yield reports of VMs that the platform reports as lost or healthy again."""
     for name, since in view.unhealthy_since_by_vm.items():
         vm = state.get("vm", name)
-        is_up = vm is not None and vm.life in (Life.LIVE, Life.LEAVING)
+        is_up = vm is not None and vm.life in (VmLifecycle.LIVE, VmLifecycle.LEAVING)
         if is_up and now - since >= lost_after_seconds:
             yield Propose(ReportLost(name))
     for vms in state.down_by_pool.values():
         for vm in vms.values():
-            if vm.life is Life.LOST and is_reported_healthy(view, vm.name):
+            if vm.life is VmLifecycle.LOST and is_reported_healthy(view, vm.name):
                 yield plan_recovery(state, vm, view.vm_by_name[vm.name])
 
 
@@ -225,7 +225,7 @@
         if own is None or not own.gives:
             continue
         for vm in state.vms_by_pool[name].values():
-            pool = target_pool(state, vm) if vm.life is Life.LIVE else None
+            pool = target_pool(state, vm) if vm.life is VmLifecycle.LIVE else None
             reported = view.vm_by_name.get(vm.name)
             if pool is not None and reported is not None:
                 yield Propose(
--- a/standin/capacity.py
+++ b/standin/capacity.py
@@ -114,7 +114,7 @@
     encode = best_seconds(builder.state.to_snapshot)
     version, _, changes = builder.state.changes_since("routing", -1)
     data = encode_changes(changes)
-    copy = best_seconds(lambda: follow(data, version))
+    copy = best_seconds(lambda: apply_changes(data, version))
     values = (
         1000 * wave,
         1000 * touched,
@@ -140,9 +140,9 @@
     list(plan_jobs(builder.state, lambda vm: False, builder.pools()))
 
 
-def follow(data, version):
+def apply_changes(data, version):
     """Take a full copy of the state."""
-    State().follow(decode_changes(data), version, True)
+    State().apply_changes(decode_changes(data), version, True)
 
 
 def relabel(number):
--- a/standin/crash_faults.py
+++ b/standin/crash_faults.py
@@ -100,7 +100,7 @@
         (
             (
                 "jobs/crash.py",
-                "        before = self.acquit(life)\n",
+                "        before = self.clear_suspicion(life)\n",
                 "        before = self.blame_by_life.get(life, NO_BLAME)\n",
             ),
         ),
@@ -146,7 +146,7 @@
         (
             (
                 "jobs/plan.py",
-                "        and TaskKey(*key, index) not in work.outlook.paused\n",
+                "        and TaskKey(*key, index) not in work.plan_context.paused\n",
                 "",
             ),
         ),
--- a/standin/faults.py
+++ b/standin/faults.py
@@ -319,7 +319,7 @@
     Fault(
         "jobs",
         "a look that was sent earlier overrules a later one",
-        (("jobs/look.py", "is_news = sent_at >= self.looked_at", "is_news = True"),),
+        (("jobs/poller.py", "is_news = sent_at >= self.polled_at", "is_news = True"),),
         "sent_earlier_tells_ends_only",
     ),
     Fault(
@@ -332,7 +332,7 @@
                 "return RunViewStatus.RUNNING",
             ),
             (
-                "jobs/look.py",
+                "jobs/poller.py",
                 "elif view.status is RunViewStatus.RUNNING and sent_at > "
                 "view.answered_at:",
                 "elif False:",
@@ -343,13 +343,19 @@
     Fault(
         "jobs",
         "what a silent minion said last is believed",
-        (("jobs/watch.py", "if not agent or agent.is_silent:", "if not agent:"),),
+        (("jobs/watch.py", "if not agent or agent.is_unresponsive:", "if not agent:"),),
         "on_a_silent_minion",
     ),
     Fault(
         "jobs",
         "a lost look ends the lease of the look before",
-        (("jobs/look.py", "LEASE_PART = 1 / 4", "LEASE_PART = 1 / 2"),),
+        (
+            (
+                "jobs/poller.py",
+                "MAX_WAIT_LEASE_FRACTION = 1 / 4",
+                "MAX_WAIT_LEASE_FRACTION = 1 / 2",
+            ),
+        ),
         "a_look_that_never_arrives",
     ),
     Fault(
@@ -369,7 +375,7 @@
         "an order under way keeps a run whose lease is over",
         (
             (
-                "jobs/look.py",
+                "jobs/poller.py",
                 "if view.status in UNSETTLED_STARTS:\n                kept",
                 "if view.is_ordering:\n                kept",
             ),
@@ -381,7 +387,7 @@
         "a minion that cannot be called ends the session",
         (
             (
-                "jobs/agentbook.py",
+                "jobs/agentregistry.py",
                 "except ValueError as error:",
                 "except OSError as error:",
             ),
@@ -405,7 +411,7 @@
         "a minion that refuses speaks for the life that had its address",
         (
             (
-                "jobs/agentbook.py",
+                "jobs/agentregistry.py",
                 "(ReplyKind.DONE, ReplyKind.FENCED)",
                 "(ReplyKind.DONE, ReplyKind.UNHEALTHY)",
             ),
@@ -447,7 +453,7 @@
         "a run that a look does not show is over without a stop",
         (
             (
-                "jobs/look.py",
+                "jobs/poller.py",
                 "                view.status = RunViewStatus.UNSURE\n"
                 "            elif view.status is RunViewStatus.RUNNING",
                 "                self.agent.end(view, RunResult.LOST, "
--- a/standin/wave_trial.py
+++ b/standin/wave_trial.py
@@ -15,7 +15,7 @@
 from hingepitch.model import command as commands
 from hingepitch.model.apply import apply
 from hingepitch.model.command import Envelope, Role
-from hingepitch.model.record import Life, Purpose
+from hingepitch.model.record import Purpose, VmLifecycle
 from hingepitch.model.state import State
 from hingepitch.planner.step import Propose
 from hingepitch.planner.view import PlatformView, PlatformVm
@@ -178,7 +178,7 @@
             return
         rack = f"rack-{self.losses.randrange(len(self.vms()) // VMS_IN_RACK)}"
         for vm in list(self.vms().values()):
-            if vm.rack == rack and vm.life is Life.LIVE:
+            if vm.rack == rack and vm.life is VmLifecycle.LIVE:
                 self.send(commands.ReportLost(vm.name), Role.PLANNER)
                 self.lost_until[vm.name] = tick + LOST_TICKS
 
@@ -224,7 +224,7 @@
     return [
         vm
         for name, vm in sorted(trial.vms().items())
-        if vm.life is Life.LIVE and not vm.maintained_version
+        if vm.life is VmLifecycle.LIVE and not vm.maintained_version
     ]
 
 
--- a/tests/consensus_driver.py
+++ b/tests/consensus_driver.py
@@ -200,7 +200,7 @@
             follows = False
         must_wait = any(
             isinstance(action, SaveVote | Install)
-            or (isinstance(action, Append) and not action.is_ahead)
+            or (isinstance(action, Append) and not action.is_async)
             for action in actions
         )
         if node.ahead and (follows or must_wait):
@@ -235,7 +235,7 @@
             node.core.reads = []
 
     def append(self, node, action):
-        if action.is_ahead:
+        if action.is_async:
             node.ahead.append(action.entries)
             if self.fault == "counted before it is durable":
                 last = action.entries[-1]
--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -7,11 +7,11 @@
 import random
 
 from hingepitch.jobs import command as commands
-from hingepitch.jobs.blame import blame_of, is_proven, is_starting, unseen_blame
+from hingepitch.jobs.blame import blame_of, is_stable, is_starting, unobserved_blame
 from hingepitch.jobs.command import RunEnd
 from hingepitch.jobs.crash import NO_BLAME
-from hingepitch.jobs.isolation import SuspectView, SuspectWaits, suspect_view
-from hingepitch.jobs.plan import Outlook, plan_starts
+from hingepitch.jobs.isolation import SuspectView, SuspectWaitTracker, suspect_view
+from hingepitch.jobs.plan import PlanContext, plan_starts
 from hingepitch.jobs.record import JobStatus, RunResult
 from hingepitch.jobs.runview import RunView, RunViewStatus
 from hingepitch.jobs.spec import Step
@@ -36,8 +36,8 @@
         self.minion = minion
         self.session = world
         self.view_by_task = {}
-        self.heard_at = world.now
-        self.silent_since = 0.0
+        self.last_message_at = world.now
+        self.unresponsive_since = 0.0
         self.is_up = True
         self.is_cut = False
         self.has_lapsed = False
@@ -52,10 +52,10 @@
             view is None or view.run is not run or is_starting(view, self.session.now)
         )
 
-    def is_proven(self, run):
+    def is_stable(self, run):
         view = self.view_by_task.get(run.task)
         step = self.session.step_of(run)
-        return view and step and is_proven(view, step, self.session.now)
+        return view and step and is_stable(view, step, self.session.now)
 
 
 class CrashWorld:
@@ -77,7 +77,7 @@
         self.log = Log()
         self.log.send(commands.PutQueues(make_config()))
         self.agent_by_minion = {}
-        self.suspect_waits = SuspectWaits(lambda: self.now)
+        self.suspect_waits = SuspectWaitTracker(lambda: self.now)
         self.crash_after = {}
         self.millicores = 16_000
         self.sick_vms = set()
@@ -129,8 +129,8 @@
 
     def look(self):
         for agent in self.agent_by_minion.values():
-            if agent.answers and self.now - agent.heard_at > LOOK_SECONDS:
-                agent.heard_at = self.now
+            if agent.answers and self.now - agent.last_message_at > LOOK_SECONDS:
+                agent.last_message_at = self.now
 
     # Jobs.
 
@@ -143,8 +143,8 @@
             return
         usable = {life for life, one in self.agent_by_minion.items() if one.answers}
         view = suspect_view(self) if self.table.crashes else SuspectView()
-        outlook = Outlook(self.now_ms, usable, suspects=view)
-        starts, gangs = plan_starts(self.table, outlook)
+        plan_context = PlanContext(self.now_ms, usable, suspects=view)
+        starts, gangs = plan_starts(self.table, plan_context)
         if not starts and not gangs:
             return
         self.log.send(commands.StartRuns(starts, gangs, self.now_ms))
@@ -160,7 +160,7 @@
         if agent is None or not agent.answers:
             return
         self.starts[run.task] = self.starts.get(run.task, 0) + 1
-        agent.heard_at = self.now
+        agent.last_message_at = self.now
         view.status = RunViewStatus.RUNNING
         view.note_begun(self.now)
         if run.task in self.crash_after:
@@ -178,7 +178,7 @@
         view = agent.view_by_task.get(run.task)
         if view is None or view.run is not run:
             return
-        agent.heard_at = self.now
+        agent.last_message_at = self.now
         del agent.view_by_task[run.task]
         self.end(run, RunResult.DONE)
         job = self.table.job_by_id[run.task.job]
@@ -211,7 +211,7 @@
     def blame(self, life):
         agent = self.agent_by_minion.get(life)
         if agent is None:
-            return unseen_blame(self.table, life)
+            return unobserved_blame(self.table, life)
         return blame_of(agent, self.agent_by_minion.values(), self.now_ms)
 
     def crash(self, life, down_seconds=None):
@@ -235,7 +235,7 @@
         agent.is_cut = False
         if not agent.is_up:
             return
-        agent.heard_at = self.now
+        agent.last_message_at = self.now
         life = agent.minion.id
         if life in self.table.crashes.blame_by_life:
             self.log.send(commands.SuspectLife(life, NO_BLAME))
@@ -244,7 +244,7 @@
             self.end(view.run, RunResult.LAPSED)
 
     def fall_silent(self, agent):
-        agent.silent_since = self.now
+        agent.unresponsive_since = self.now
         self.later(LAPSE_SECONDS, self.lapse, agent)
 
     def lapse(self, agent):
@@ -262,8 +262,8 @@
             for view in agent.view_by_task.values():
                 view.begun_at = self.now if agent.answers else 0.0
             if not agent.answers:
-                agent.heard_at = 0.0
-                agent.silent_since = self.now
+                agent.last_message_at = 0.0
+                agent.unresponsive_since = self.now
 
     # What tests ask.
 
--- a/tests/fleet_driver.py
+++ b/tests/fleet_driver.py
@@ -6,10 +6,10 @@
 from hingepitch.model import command as commands
 from hingepitch.model.apply import apply
 from hingepitch.model.command import Envelope, Role
-from hingepitch.model.record import JobState, Life, Purpose
+from hingepitch.model.record import JobState, Purpose, VmLifecycle
 from hingepitch.model.state import State
 from hingepitch.planner.placement import plan_jobs
-from hingepitch.planner.scope import Scope
+from hingepitch.planner.scope import PassScope
 from hingepitch.planner.step import CheckDrained, Propose, Reboot
 from hingepitch.planner.view import PlatformView, PlatformVm
 from hingepitch.planner.wave import plan_drains, plan_health, plan_moves, plan_wave
@@ -59,7 +59,7 @@
         self.decide = decide
         self.state = State()
         self.copy = State()
-        self.scope = Scope()
+        self.scope = PassScope()
         self.view = PlatformView()
         self.platform = FakePlatform()
         self.index = 0
@@ -144,7 +144,7 @@
             return
         self.fence = lease.fence
         view = self.platform.view()
-        self.follow(view)
+        self.apply_changes(view)
         pools = self.scope.take(self.copy)
         steps = [
             *plan_health(self.copy, view, 10.0, 1.0),
@@ -158,13 +158,13 @@
         for step in steps[:done]:
             self.carry_out(step)
 
-    def follow(self, view):
+    def apply_changes(self, view):
         """Bring the planner's copy up to date, as the planner does."""
         version, full, changes = self.state.changes_since("planning", self.copy.version)
         self.scope.is_full |= full
         for change in changes:
             self.scope.note_change(self.copy, *change)
-        self.copy.follow(changes, version, full)
+        self.copy.apply_changes(changes, version, full)
         self.scope.note_view(self.copy, self.view, view)
         self.view = view
 
@@ -245,7 +245,7 @@
         counts = {}
         for service in self.state.by_kind["service"].values():
             counts[service.name] = sum(
-                vm.life is not Life.LIVE for vm in self.state.minions(service)
+                vm.life is not VmLifecycle.LIVE for vm in self.state.minions(service)
             )
         return counts
 
@@ -264,7 +264,10 @@
                 raise BrokenPromise(f"budget of {name} after {command}")
         permits = self.state.by_kind["permit"]
         for vm in self.state.by_kind["vm"].values():
-            if vm.life in (Life.LEAVING, Life.DRAINED) and vm.name not in permits:
+            if (
+                vm.life in (VmLifecycle.LEAVING, VmLifecycle.DRAINED)
+                and vm.name not in permits
+            ):
                 raise BrokenPromise(f"{vm.name} is down without a permit")
 
     def check_pools(self):
@@ -309,5 +312,5 @@
         return [
             vm.name
             for vm in self.state.by_kind["vm"].values()
-            if not vm.maintained_version or vm.life is not Life.LIVE
+            if not vm.maintained_version or vm.life is not VmLifecycle.LIVE
         ]
--- a/tests/leased_minion.py
+++ b/tests/leased_minion.py
@@ -5,7 +5,7 @@
 import gevent
 from gevent.event import Event
 
-from hingepitch.jobs.contact import Look, Reply, ReplyKind, RunningRow
+from hingepitch.jobs.contact import PollResult, Reply, ReplyKind, RunningRow
 from hingepitch.jobs.record import RunResult
 from tests.memory_minion import MemoryMinion
 
@@ -57,17 +57,17 @@
             self.looks_to_lose = max(0, self.looks_to_lose - 1)
             self.renewals_to_lose = max(0, self.renewals_to_lose - is_renewal)
             gevent.sleep(seconds)
-            return Look(Reply(ReplyKind.UNSURE))
+            return PollResult(Reply(ReplyKind.UNSURE))
         if is_renewal:
             self.renewals += 1
             self.renew(order.lease_until_ms)
-        self.ended = [end for end in self.ended if end.sequence > order.ends_taken]
+        self.ended = [end for end in self.ended if end.sequence > order.ends_recorded]
         if not self.ended and order.wait_ms:
             self.news.wait(order.wait_ms / 1000)
         rows = tuple(
             RunningRow(task, number, "", 100) for task, number in self.running.items()
         )
-        return Look(self.reply(), rows, tuple(self.ended))
+        return PollResult(self.reply(), rows, tuple(self.ended))
 
     def renew(self, until_ms):
         """Take a lease; it is never shortened."""
--- a/tests/memory_minion.py
+++ b/tests/memory_minion.py
@@ -10,7 +10,7 @@
 import gevent
 from gevent.event import Event
 
-from hingepitch.jobs.contact import EndedRun, Look, Reply, ReplyKind, RunningRow
+from hingepitch.jobs.contact import EndedRun, PollResult, Reply, ReplyKind, RunningRow
 from hingepitch.jobs.record import RunResult
 
 LIFE_NUMBERS = itertools.count(1)
@@ -74,16 +74,16 @@
         return self.reply()
 
     def look(self, order, seconds):
-        self.ended = [end for end in self.ended if end.sequence > order.ends_taken]
+        self.ended = [end for end in self.ended if end.sequence > order.ends_recorded]
         if self.look_faults and self.look_faults.pop(0):
             gevent.sleep(seconds)
-            return Look(Reply(ReplyKind.UNSURE))
+            return PollResult(Reply(ReplyKind.UNSURE))
         if not self.ended and order.wait_ms:
             self.news.wait(order.wait_ms / 1000)
         rows = tuple(
             RunningRow(task, number, "", 50) for task, number in self.running.items()
         )
-        return Look(self.reply(), rows, tuple(self.ended))
+        return PollResult(self.reply(), rows, tuple(self.ended))
 
     # What a minion does.
 
--- a/tests/order_world.py
+++ b/tests/order_world.py
@@ -15,19 +15,19 @@
 from hingepitch.clock import lease_seconds
 from hingepitch.error import HingepitchError
 from hingepitch.jobs import command as commands
-from hingepitch.jobs.contact import EndedRun, Look, Reply, ReplyKind, RunningRow
+from hingepitch.jobs.contact import EndedRun, PollResult, Reply, ReplyKind, RunningRow
 from hingepitch.jobs.dispatch import Dispatcher
 from hingepitch.jobs.question import NoteBeat
 from hingepitch.jobs.record import RunResult
 from hingepitch.jobs.roster import MinionRoster
 from hingepitch.jobs.service import JobService
 from hingepitch.jobs.spec import Step
-from hingepitch.jobs.terms import DispatchTerms
+from hingepitch.jobs.terms import DispatchSettings
 from hingepitch.model.apply import apply
 from tests.test_job_rules import Log, make_config, make_minion
 
-TERMS = DispatchTerms(
-    lease_seconds=1.0, lapse_seconds=0.2, beat_seconds=0.3, look_wait_ms=500
+TERMS = DispatchSettings(
+    lease_seconds=1.0, expiry_delay_seconds=0.2, heartbeat_seconds=0.3, poll_wait_ms=500
 )
 
 #: A minion's steady clock is so much slower than ours.
@@ -163,15 +163,15 @@
         if order.lease_until_ms is not None:
             self.until_ms = max(self.until_ms, order.lease_until_ms)
         for end in self.ended:
-            if end.sequence <= order.ends_taken:
+            if end.sequence <= order.ends_recorded:
                 self.note_taken(end)
-        self.ended = [end for end in self.ended if end.sequence > order.ends_taken]
+        self.ended = [end for end in self.ended if end.sequence > order.ends_recorded]
         if not self.ended and order.wait_ms:
             self.news.wait(order.wait_ms / 1000)
         rows = tuple(
             RunningRow(task, number, "", 50) for task, number in self.running.items()
         )
-        return Look(self.reply(), rows, tuple(self.ended))
+        return PollResult(self.reply(), rows, tuple(self.ended))
 
     # What happens by itself.
 
@@ -234,7 +234,7 @@
 
     def look(self, order, seconds):
         reply = self.call("look", order, seconds)
-        return reply if isinstance(reply, Look) else Look(reply)
+        return reply if isinstance(reply, PollResult) else PollResult(reply)
 
     def close(self):
         """There are no connections."""
--- a/tests/power_replica.py
+++ b/tests/power_replica.py
@@ -61,7 +61,7 @@
         """Run the replica until it leads, or the power is lost."""
         self.greenlets = [
             gevent.spawn(self.replica.run),
-            gevent.spawn(self.replica.write_ahead),
+            gevent.spawn(self.replica.write_in_background),
         ]
         assert wait_until(self.is_ready, SECONDS)
 
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -220,7 +220,7 @@
     def read(self, address, kind):
         """Read the objects of a kind at one replica, confirmed."""
         client = self.cluster.client("prescriptions")
-        return client.call_at(address, "GET", f"/v1/objects/{kind}")
+        return client.call_replica(address, "GET", f"/v1/objects/{kind}")
 
     def stop_observers(self):
         faults = [fault for observer in self.observers for fault in observer.stop()]
--- a/tests/test_admin_status.py
+++ b/tests/test_admin_status.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from hingepitch.admin.program import fault_of
+from hingepitch.admin.program import describe_storage_fault
 
 SOUND = {"storage_fault": "", "unread": "", "set_aside": ""}
 
@@ -20,4 +20,4 @@
     ],
 )
 def test_a_fault_of_the_folder_is_named(fields, fault):
-    assert fault_of({**SOUND, **fields}) == fault
+    assert describe_storage_fault({**SOUND, **fields}) == fault
--- a/tests/test_any_folder.py
+++ b/tests/test_any_folder.py
@@ -18,7 +18,7 @@
 
 CASES = 250
 CHANGES = 40
-SNAPSHOT_EVERY = 15
+MIN_SNAPSHOT_ENTRIES = 15
 
 #: Longest stretch of a file that is damaged at once, in bytes.
 STRETCH_BYTES = 3000
@@ -64,8 +64,8 @@
 
 @pytest.fixture
 def replica(tmp_path, monkeypatch):
-    monkeypatch.setattr(replica_module, "SNAPSHOT_EVERY", SNAPSHOT_EVERY)
-    monkeypatch.setattr(replica_module, "SNAPSHOT_EVERY_AT_MOST", SNAPSHOT_EVERY)
+    monkeypatch.setattr(replica_module, "MIN_SNAPSHOT_ENTRIES", MIN_SNAPSHOT_ENTRIES)
+    monkeypatch.setattr(replica_module, "MAX_SNAPSHOT_ENTRIES", MIN_SNAPSHOT_ENTRIES)
     made = PowerReplica(tmp_path / "data")
     made.start()
     for _ in range(CHANGES):
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -11,8 +11,8 @@
 from hingepitch.exchange import BrokenAnswer, check_answer_head
 from hingepitch.httpd import FramingError, StrictHandler, check_framing
 from hingepitch.log import format_pairs
-from hingepitch.model.border import parse_object
 from hingepitch.model.selector import matches, parse_selector
+from hingepitch.model.validation import parse_object
 from hingepitch.planner.settings import PlannerSettings
 from hingepitch.setting import load_settings
 
--- a/tests/test_crash_book.py
+++ b/tests/test_crash_book.py
@@ -6,7 +6,7 @@
 import pytest
 
 from hingepitch.jobs import command as commands
-from hingepitch.jobs.crash import MAX_SILENT_LIVES, Blame, CrashBook, Suspicion
+from hingepitch.jobs.crash import MAX_SILENT_LIVES, Blame, CrashRegistry, Suspicion
 from hingepitch.jobs.dispatch import Dispatcher
 from hingepitch.jobs.record import JobStatus, RunResult
 from hingepitch.jobs.roster import MinionRoster
@@ -75,8 +75,8 @@
     log.start(CULPRIT, task(), minion="i-1")
     replica = SimpleNamespace(state=log.state)
     dispatcher = Dispatcher(replica, MinionRoster(), None, None, "test")
-    assert set(dispatcher.take_blame("i-1").exposed) == {CULPRIT, task()}
-    assert not dispatcher.take_blame("i-2").exposed
+    assert set(dispatcher.blame_for("i-1").exposed) == {CULPRIT, task()}
+    assert not dispatcher.blame_for("i-2").exposed
 
 
 def test_a_planned_end_is_no_crash(log):
@@ -126,7 +126,7 @@
 
 
 def test_lives_that_stay_silent_are_remembered_within_a_bound():
-    book = CrashBook()
+    book = CrashRegistry()
     for number in range(MAX_SILENT_LIVES + 10):
         book.suspect(f"i-{number}", CROWD)
     assert len(book.blame_by_life) == MAX_SILENT_LIVES
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -16,13 +16,16 @@
 from hingepitch.jobs.record import JobStatus
 from hingepitch.jobs.roster import MinionRoster
 from hingepitch.jobs.spec import Step
-from hingepitch.jobs.terms import DispatchTerms
+from hingepitch.jobs.terms import DispatchSettings
 from hingepitch.model.apply import apply
 from standin.taskminion import TaskMinion
 from tests.test_job_rules import JOB, Log, make_config, make_minion, task
 
-TERMS = DispatchTerms(
-    lease_seconds=1.0, lapse_seconds=0.2, beat_seconds=60.0, look_wait_ms=500
+TERMS = DispatchSettings(
+    lease_seconds=1.0,
+    expiry_delay_seconds=0.2,
+    heartbeat_seconds=60.0,
+    poll_wait_ms=500,
 )
 SECONDS = 8
 
@@ -145,7 +148,7 @@
 
 def test_an_end_is_seen_soon_though_the_answer_of_a_look_is_lost(rig):
     minion = TaskMinion(task_seconds=0.3)
-    here = rig(minion, terms=replace(TERMS, look_wait_ms=2000))
+    here = rig(minion, terms=replace(TERMS, poll_wait_ms=2000))
     assert wait_until(lambda: here.dispatcher.session is not None, SECONDS)
     assert wait_until(lambda: here.dispatcher.session.agent_by_minion, SECONDS)
     agent = here.dispatcher.session.agent_by_minion[minion.life]
@@ -187,7 +190,7 @@
     run = here.log.table.run_by_task[task()]
     assert wait_until(lambda: here.dispatcher.session.watch.is_at_work(task()), SECONDS)
     here.dispatcher.session.watch.evacuate(run, "test")
-    here.dispatcher.session.agent_by_minion[busy.life].set_aside(60)
+    here.dispatcher.session.agent_by_minion[busy.life].pause_placement(60)
     assert wait_until(lambda: any(kind == "stop" for kind, _ in busy.calls), SECONDS)
     assert not free.starts
     assert wait_until(lambda: free.starts, SECONDS)
@@ -374,13 +377,13 @@
 
 
 def test_a_task_that_stands_still_goes_on_elsewhere(rig, monkeypatch):
-    monkeypatch.setattr(health_module, "HUNG_SECONDS", 1.2)
+    monkeypatch.setattr(health_module, "STALL_SECONDS", 1.2)
     first, second = TaskMinion(), TaskMinion()
     here = rig(first, second)
     here.submit(Step(1))
     assert wait_until(lambda: first.starts or second.starts, SECONDS)
     busy, free = (first, second) if first.starts else (second, first)
-    here.dispatcher.session.agent_by_minion[busy.life].set_aside(60)
+    here.dispatcher.session.agent_by_minion[busy.life].pause_placement(60)
     assert wait_until(lambda: free.starts, SECONDS)
     assert not busy.running
 
--- a/tests/test_duration.py
+++ b/tests/test_duration.py
@@ -7,7 +7,7 @@
 from hingepitch.httpd import wait_until
 from hingepitch.jobs import command as commands
 from hingepitch.jobs.due import due_ms, is_late
-from hingepitch.jobs.duration import STEPS_TO_LEARN, Durations
+from hingepitch.jobs.duration import MIN_OBSERVED_STEPS, Durations
 from hingepitch.jobs.queue import Queue
 from hingepitch.jobs.record import JobStatus
 from hingepitch.jobs.spec import Step
@@ -28,7 +28,7 @@
 
 def test_before_enough_steps_were_seen_the_estimate_holds():
     durations = Durations()
-    learn(durations, [(100, 900)] * int(STEPS_TO_LEARN - 1))
+    learn(durations, [(100, 900)] * int(MIN_OBSERVED_STEPS - 1))
     assert durations.expected_ms(PLACE, Step(1, estimate_ms=100)) == 100
 
 
@@ -89,10 +89,10 @@
     assert not is_late(policy, job, 0, 0, now_ms, durations)
     step = Step(1, estimate_ms=100)
     for _ in range(20):
-        durations.note(policy.place, step, 1100)
+        durations.note(policy.route, step, 1100)
     grown = due_ms(policy, job, 0, durations) - before
     assert grown == pytest.approx(policy.stretch * 1000, rel=0.01)
-    assert policy.place == (HOST, "/q/")
+    assert policy.route == (HOST, "/q/")
 
 
 def test_a_leader_learns_from_the_runs_that_end():
--- a/tests/test_earlier_life.py
+++ b/tests/test_earlier_life.py
@@ -16,7 +16,7 @@
 from hingepitch.error import HingepitchError
 from hingepitch.httpd import wait_until
 from hingepitch.jobs.command import SuspectLife
-from hingepitch.jobs.contact import Look, Reply, ReplyKind
+from hingepitch.jobs.contact import PollResult, Reply, ReplyKind
 from hingepitch.jobs.question import NoteBeat
 from hingepitch.jobs.service import JobService
 from hingepitch.jobs.spec import Step
@@ -32,7 +32,7 @@
 
     def look(self, order, seconds):
         gevent.sleep(0)
-        return Look(Reply(self.reply_kind))
+        return PollResult(Reply(self.reply_kind))
 
 
 @pytest.fixture
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -11,7 +11,7 @@
 from hingepitch.exchange import MinionConnections, is_readable
 from hingepitch.httpd import wait_until
 from hingepitch.metric import Metrics
-from hingepitch.model.record import Life, Service, Vm
+from hingepitch.model.record import Service, Vm, VmLifecycle
 from hingepitch.model.state import State
 from hingepitch.request import Answer, Failure, Priority, Request, Run
 
@@ -213,7 +213,7 @@
     fakes = [minion(), minion(*[(answer(b"x"),)] * 20)]
     proxy = make_proxy(fakes)
     state = proxy.follower.state
-    leaving = Vm("v0", "p", "pool", "h", "r", "127.0.0.1", life=Life.LEAVING)
+    leaving = Vm("v0", "p", "pool", "h", "r", "127.0.0.1", life=VmLifecycle.LEAVING)
     state.put("vm", "v0", leaving, 100)
     for _ in range(10):
         assert proxy.handle(request()).body == b"x"
--- a/tests/test_every_call.py
+++ b/tests/test_every_call.py
@@ -19,7 +19,7 @@
 from tests.power_replica import PowerReplica
 
 #: Entries between two snapshots here; so a few changes lead to one.
-SNAPSHOT_EVERY = 6
+MIN_SNAPSHOT_ENTRIES = 6
 CHANGES = 14
 
 #: Entries by which an installed snapshot is ahead; more than there are.
@@ -34,9 +34,9 @@
 
 @pytest.fixture(autouse=True)
 def often_a_snapshot(monkeypatch):
-    monkeypatch.setattr(replica_module, "SNAPSHOT_EVERY", SNAPSHOT_EVERY)
-    monkeypatch.setattr(replica_module, "SNAPSHOT_EVERY_AT_MOST", SNAPSHOT_EVERY)
-    monkeypatch.setattr(replica_module, "KEEP_BEHIND_SNAPSHOT", 2)
+    monkeypatch.setattr(replica_module, "MIN_SNAPSHOT_ENTRIES", MIN_SNAPSHOT_ENTRIES)
+    monkeypatch.setattr(replica_module, "MAX_SNAPSHOT_ENTRIES", MIN_SNAPSHOT_ENTRIES)
+    monkeypatch.setattr(replica_module, "ENTRIES_KEPT_BEHIND_SNAPSHOT", 2)
 
 
 @pytest.fixture
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -7,10 +7,10 @@
 from hingepitch.model.apply import apply
 from hingepitch.model.command import Envelope, Role
 from hingepitch.model.explain import explain
-from hingepitch.model.record import JobState, Life, Purpose
+from hingepitch.model.record import JobState, Purpose, VmLifecycle
 from hingepitch.model.rules import RULES, claim as claim_rules, job as job_rules
 from hingepitch.model.state import State
-from hingepitch.planner.placement import Suspicion, plan_jobs
+from hingepitch.planner.placement import VmQuarantine, plan_jobs
 from hingepitch.planner.view import PlatformView, PlatformVm, Task, TaskState
 from hingepitch.planner.wave import plan_wave
 from tests.fleet_driver import BrokenPromise, FleetDriver
@@ -175,7 +175,7 @@
     fleet.planner(commands.MarkDrained("v0"))
     assert fleet.planner(commands.ReturnVm("v0", "b0")).code == "wrong_boot"
     assert fleet.planner(commands.ReturnVm("v0", "b1")).accepted
-    assert fleet.state.get("vm", "v0").life is Life.LIVE
+    assert fleet.state.get("vm", "v0").life is VmLifecycle.LIVE
 
 
 def test_owner_deletes_a_vm_that_never_came_back_from_its_reboot():
@@ -330,17 +330,17 @@
 
 
 def test_worker_that_fails_different_jobs_is_set_aside():
-    suspicion = Suspicion()
+    quarantine = VmQuarantine()
     for number in range(3):
         task = Task(f"j{number}/1", "bad", TaskState.FAILED)
-        suspicion.learn({task.name: task}, 0.0)
-    assert suspicion.is_suspect("bad", 1.0)
-    assert not suspicion.is_suspect("bad", 1000.0)
+        quarantine.count_ended_tasks({task.name: task}, 0.0)
+    assert quarantine.is_quarantined("bad", 1.0)
+    assert not quarantine.is_quarantined("bad", 1000.0)
 
 
 def test_one_failing_job_does_not_condemn_a_worker():
-    suspicion = Suspicion()
+    quarantine = VmQuarantine()
     for attempt in range(5):
         task = Task(f"j/{attempt}", "vm", TaskState.FAILED)
-        suspicion.learn({task.name: task}, 0.0)
-    assert not suspicion.is_suspect("vm", 1.0)
+        quarantine.count_ended_tasks({task.name: task}, 0.0)
+    assert not quarantine.is_quarantined("vm", 1.0)
--- a/tests/test_frame.py
+++ b/tests/test_frame.py
@@ -10,7 +10,7 @@
 from hingepitch.control.member import losses_left
 from hingepitch.control.roster import Roster
 from hingepitch.error import HingepitchError
-from hingepitch.group import PASSING_CODES, GroupClient, may_resend
+from hingepitch.group import TRANSIENT_CODES, GroupClient, may_resend
 from hingepitch.model.command import Envelope, PutPool, Role
 from hingepitch.model.record import Pool
 from hingepitch.model.state import State
@@ -169,7 +169,7 @@
     assert [name for _, name, _ in changes] == ["p1", "p2", "p3", "p4", "p5"]
     copy = State()
     copy.put("pool", "gone", Pool("gone", "left"), 1)
-    copy.follow(changes, version, full)
+    copy.apply_changes(changes, version, full)
     assert copy.by_kind == state.by_kind
 
 
@@ -181,19 +181,19 @@
 
 
 def test_the_operators_client_asks_on_after_every_code_that_may_pass(monkeypatch):
-    codes = sorted(PASSING_CODES)
+    codes = sorted(TRANSIENT_CODES)
     client = AdminClient(
         AdminSettings(control=["127.0.0.1:1", "127.0.0.1:2"], token="t" * 16)
     )
     asked = []
 
-    def call_at(address, method, path, body=None):
+    def call_replica(address, method, path, body=None):
         asked.append(address)
         if len(asked) <= len(codes):
             raise HingepitchError(codes[len(asked) - 1])
         return {"version": 1}
 
-    monkeypatch.setattr(client, "call_at", call_at)
+    monkeypatch.setattr(client, "call_replica", call_replica)
     monkeypatch.setattr(admin_client, "PAUSE_SECONDS", 0.0)
     assert client.command(put={}) == {"version": 1}
     assert len(asked) == len(codes) + 1
--- a/tests/test_healing.py
+++ b/tests/test_healing.py
@@ -13,14 +13,14 @@
     return Member(identity or name, name, f"10.0.0.{number}:1", "h", voter)
 
 
-def make_view(members, applicants=(), caught_up=None, silent=(), wanted=5):
+def make_view(members, applicants=(), caught_up=None, not_responding=(), wanted=5):
     identities = {one.identity for one in members}
     return GroupView(
         members=tuple(members),
         leader=members[0].identity,
         applicants=tuple(applicants),
         caught_up=frozenset(identities if caught_up is None else caught_up),
-        silent=frozenset(silent),
+        not_responding=frozenset(not_responding),
         voters_wanted=wanted,
     )
 
@@ -29,10 +29,12 @@
     return [one.identity for one in members if one.voter]
 
 
-def repair(members, applicants, silent=()):
+def repair(members, applicants, not_responding=()):
     """Return the members after all steps; each changes one voter at most."""
     for _ in range(20):
-        following = next_members(make_view(members, applicants, silent=silent))
+        following = next_members(
+            make_view(members, applicants, not_responding=not_responding)
+        )
         if following is None:
             return members
         assert len(set(voters(members)) ^ set(voters(following))) <= 1
@@ -61,17 +63,17 @@
 def test_a_silent_voter_is_replaced_only_by_one_that_has_caught_up():
     five = [member(n) for n in range(1, 6)]
     newcomer = member(6, "c6~z", False)
-    assert next_members(make_view(five, silent=["c3"])) is None
-    learning = make_view([*five, newcomer], caught_up=["c2"], silent=["c3"])
+    assert next_members(make_view(five, not_responding=["c3"])) is None
+    learning = make_view([*five, newcomer], caught_up=["c2"], not_responding=["c3"])
     assert next_members(learning) is None
-    members = repair(five, [newcomer], silent=["c3"])
+    members = repair(five, [newcomer], not_responding=["c3"])
     assert voters(members) == ["c1", "c2", "c4", "c5", "c6~z"]
 
 
 def test_a_learner_that_is_behind_or_silent_is_not_promoted():
     members = [member(1), member(2), member(3), member(4, voter=False)]
     assert next_members(make_view(members, caught_up=["c2", "c3"])) is None
-    assert next_members(make_view(members, silent=["c4"])) is None
+    assert next_members(make_view(members, not_responding=["c4"])) is None
 
 
 def test_the_leader_does_not_remove_itself():
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -2,10 +2,10 @@
 
 from hingepitch.jobs.health import (
     EVIDENCE_SECONDS,
-    HUNG_GANG_SECONDS,
-    HUNG_SECONDS,
+    GANG_STALL_SECONDS,
+    STALL_SECONDS,
     MinionHealth,
-    is_hung,
+    is_stalled,
 )
 
 
@@ -13,16 +13,16 @@
     health = MinionHealth()
     for now in range(5):
         health.note_trouble("job", now)
-    assert not health.doubt(5) and not health.is_sick(5)
+    assert not health.avoidance(5) and not health.is_unhealthy(5)
 
 
 def test_several_jobs_in_trouble_make_a_minion_doubted_then_sick():
     health = MinionHealth()
     health.note_trouble("a", 1)
     health.note_trouble("b", 1)
-    assert health.doubt(2) and not health.is_sick(2)
+    assert health.avoidance(2) and not health.is_unhealthy(2)
     health.note_trouble("c", 1)
-    assert health.is_sick(2)
+    assert health.is_unhealthy(2)
 
 
 def test_a_success_or_time_clears_a_sick_minion():
@@ -30,18 +30,18 @@
     for job in "abc":
         health.note_trouble(job, 1)
     health.note_success(2)
-    assert not health.is_sick(3)
+    assert not health.is_unhealthy(3)
     health.note_trouble("d", 4)
-    assert health.is_sick(5)
-    assert not health.is_sick(4 + EVIDENCE_SECONDS)
+    assert health.is_unhealthy(5)
+    assert not health.is_unhealthy(4 + EVIDENCE_SECONDS)
     assert not health.trouble_at_by_job
 
 
 def test_progress_that_moves_is_not_hung():
-    assert not is_hung(10.0, 10.0 + HUNG_SECONDS)
-    assert is_hung(10.0, 10.1 + HUNG_SECONDS)
+    assert not is_stalled(10.0, 10.0 + STALL_SECONDS)
+    assert is_stalled(10.0, 10.1 + STALL_SECONDS)
 
 
 def test_a_member_of_a_gang_may_wait_for_the_others():
-    assert not is_hung(10.0, 10.1 + HUNG_SECONDS, gang=True)
-    assert is_hung(10.0, 10.1 + HUNG_GANG_SECONDS, gang=True)
+    assert not is_stalled(10.0, 10.1 + STALL_SECONDS, gang=True)
+    assert is_stalled(10.0, 10.1 + GANG_STALL_SECONDS, gang=True)
--- a/tests/test_held_back.py
+++ b/tests/test_held_back.py
@@ -19,7 +19,7 @@
 from hingepitch.jobs.record import UpkeepStage
 from hingepitch.jobs.service import JobService
 from hingepitch.jobs.spec import Step
-from hingepitch.jobs.upkeep import UpkeepDesk
+from hingepitch.jobs.upkeep import UpkeepController
 from tests.memory_minion import MemoryMinion
 from tests.test_dispatch import SECONDS, Rig
 from tests.test_job_rules import make_minion, task
@@ -64,7 +64,7 @@
     for number in (0, 1):
         beat(rig, number, 1)
     platform = Platform()
-    session.upkeep = UpkeepDesk(session, platform, UPKEEP_SECONDS)
+    session.upkeep = UpkeepController(session, platform, UPKEEP_SECONDS)
     session.spawn(session.upkeep.run)
     rig.log.send(commands.PutWave(1, ("vm-0", "vm-1"), 1, wall_ms() + 20_000))
     wave = rig.log.table.wave_by_number[1]
@@ -75,7 +75,7 @@
     for sequence in range(2, 12):
         beat(rig, int(down[-1]), sequence)
         wait_until(lambda: len(set(platform.calls)) == 2, 0.2)
-    assert agent.beat_at > settled_at + UPKEEP_SECONDS
+    assert agent.last_heartbeat_at > settled_at + UPKEEP_SECONDS
     assert set(platform.calls) == {down}
 
 
--- a/tests/test_job_plan.py
+++ b/tests/test_job_plan.py
@@ -6,7 +6,7 @@
 from hingepitch.jobs.arrival import WINDOW_SECONDS, ArrivalRate, work_core_ms
 from hingepitch.jobs.duration import Durations
 from hingepitch.jobs.load import PoolLoad, measure_pools
-from hingepitch.jobs.plan import Outlook, plan_starts
+from hingepitch.jobs.plan import PlanContext, plan_starts
 from hingepitch.jobs.pool import (
     IdleVm,
     Move,
@@ -17,9 +17,9 @@
 )
 from hingepitch.jobs.queue import AdviceTerms, Queue
 from hingepitch.jobs.record import RunResult
-from hingepitch.jobs.spec import JobSpec, Step, chain_from_ms, longest_chain_ms
-from hingepitch.jobs.table import Room
-from hingepitch.jobs.upkeep import patience_seconds
+from hingepitch.jobs.spec import JobSpec, Step, critical_path_from_ms, critical_path_ms
+from hingepitch.jobs.table import ResourceUsage
+from hingepitch.jobs.upkeep import drain_grace_seconds
 from tests.test_job_rules import HOST, JOB, Log, make_config, make_minion, task
 
 OTHER = "00000000000000bb"
@@ -37,9 +37,9 @@
     return log
 
 
-def plan(log, now_ms=0, **outlook):
-    usable = outlook.pop("usable", set(log.table.minion_by_id))
-    return plan_starts(log.table, Outlook(now_ms, usable, **outlook))
+def plan(log, now_ms=0, **plan_context):
+    usable = plan_context.pop("usable", set(log.table.minion_by_id))
+    return plan_starts(log.table, PlanContext(now_ms, usable, **plan_context))
 
 
 def places(starts):
@@ -148,10 +148,10 @@
         Step(1, estimate_ms=50, after=(0,)),
         Step(1, estimate_ms=70, after=(2, 1)),
     )
-    assert longest_chain_ms(steps, by_estimate) == 570
-    assert chain_from_ms(steps, 0, by_estimate) == 220
-    assert chain_from_ms(steps, 1, by_estimate) == 570
-    assert chain_from_ms(steps, 3, by_estimate) == 70
+    assert critical_path_ms(steps, by_estimate) == 570
+    assert critical_path_from_ms(steps, 0, by_estimate) == 220
+    assert critical_path_from_ms(steps, 1, by_estimate) == 570
+    assert critical_path_from_ms(steps, 3, by_estimate) == 70
 
 
 def test_loads_tell_what_runs_lasts_and_waits():
@@ -169,7 +169,7 @@
         waiting=2000,
         waiting_mb=200,
         waiting_tasks=2,
-        largest=Room(4000, 4000, 0),
+        largest=ResourceUsage(4000, 4000, 0),
     )
     log.end(task(), RunResult.DONE)
     assert measure_pools(log.table, 0, Durations())["pool"].running == 500
@@ -201,7 +201,9 @@
     assert not measure_pools(log.table, 10**9, Durations())["pool"].waiting_late
 
 
-TERMS = PoolTerms(use_part=1.0, late_part=0.25, floor=1, idle_seconds=3, lend_seconds=1)
+TERMS = PoolTerms(
+    target_utilization=1.0, late_part=0.25, floor=1, idle_seconds=3, lend_seconds=1
+)
 
 
 def idle(*seconds, kind="a", name="vm"):
@@ -280,11 +282,11 @@
 def test_lasting_tasks_alone_are_not_work():
     log = make_log(make_minion(1))
     log.submit(Step(1, lasts=True))
-    assert not log.table.has_had_work
+    assert not log.table.has_seen_batch_job
     log.submit(Step(1), job=OTHER)
-    assert log.table.has_had_work
+    assert log.table.has_seen_batch_job
     again = type(log.table).from_content(log.table.to_content())
-    assert again.has_had_work
+    assert again.has_seen_batch_job
 
 
 @pytest.mark.parametrize("kinds, impossible", [({"b"}, ()), ((), {("a", "busy")})])
@@ -299,4 +301,4 @@
     [(20, 4, 2, 6.8), (20, 4, 1, 1.8), (5, 4, 1, 0.0), (20, 0, 1, 20.0)],
 )
 def test_vms_wait_for_their_runs_while_the_wave_has_time(left, waiting, down, seconds):
-    assert patience_seconds(left, waiting, down, 2.0) == pytest.approx(seconds)
+    assert drain_grace_seconds(left, waiting, down, 2.0) == pytest.approx(seconds)
--- a/tests/test_job_rules.py
+++ b/tests/test_job_rules.py
@@ -313,14 +313,14 @@
 
 
 def test_pending_jobs_are_counted_by_queue(log):
-    place = (HOST, "/q/")
+    route = (HOST, "/q/")
     log.submit(Step(1))
     log.submit(Step(1), job="00000000000000bb")
-    assert log.table.pending_by_place[place] == 2
+    assert log.table.pending_by_route[route] == 2
     log.start(task())
-    assert log.table.pending_by_place[place] == 1
+    assert log.table.pending_by_route[route] == 1
     log.send(commands.CancelJob("00000000000000bb", 0))
-    assert log.table.pending_by_place[place] == 0
+    assert log.table.pending_by_route[route] == 0
 
 
 def test_ended_jobs_are_kept_for_a_time_and_bounded(log, monkeypatch):
--- a/tests/test_lasting_leases.py
+++ b/tests/test_lasting_leases.py
@@ -20,11 +20,15 @@
 
 from adapter.settings import LEASE_SECONDS as PLATFORM_LEASE_SECONDS
 from hingepitch.httpd import wait_until
-from hingepitch.jobs.answer import MOST_SECONDS
 from hingepitch.jobs.contact import Reply, ReplyKind
-from hingepitch.jobs.look import ANSWER_SECONDS, LEASE_PART, RETRY_SECONDS
+from hingepitch.jobs.poller import (
+    ANSWER_SECONDS,
+    MAX_WAIT_LEASE_FRACTION,
+    RETRY_SECONDS,
+)
 from hingepitch.jobs.record import RunResult
-from hingepitch.jobs.session import LOOK_PAUSE_SECONDS
+from hingepitch.jobs.replytime import MAX_TIMEOUT_SECONDS
+from hingepitch.jobs.session import POLL_PAUSE_SECONDS
 from hingepitch.jobs.spec import Step
 from tests.leased_minion import LeasedMinion
 from tests.test_dispatch import SECONDS, TERMS, Rig
@@ -32,7 +36,7 @@
 
 #: The proportions of the real terms at half the time: a look may wait half a lease.
 LEASE_SECONDS = 2.0
-LEASE_TERMS = replace(TERMS, lease_seconds=LEASE_SECONDS, look_wait_ms=1000)
+LEASE_TERMS = replace(TERMS, lease_seconds=LEASE_SECONDS, poll_wait_ms=1000)
 
 #: How late a beat is read that a cut has held back.
 BEAT_DELAY_MS = 3000
@@ -89,7 +93,7 @@
     minion = LeasedMinion()
     here = rig(minion)
     beat_ms = minion.clock_ms() - BEAT_DELAY_MS
-    here.dispatcher.note_beat(minion.life, beat_ms)
+    here.dispatcher.note_heartbeat(minion.life, beat_ms)
     here.submit(Step(1, lasts=True))
     assert wait_until(lambda: minion.orders, SECONDS)
     left_ms = minion.orders[0].lease_until_ms - minion.clock_ms()
@@ -125,10 +129,10 @@
 @pytest.mark.parametrize("lost", [1, 2])
 def test_looks_lost_in_a_row_leave_room_in_the_lease_of_the_platform(lost):
     """The longest time between two renewals, a prompt question between them."""
-    answer = max(ANSWER_SECONDS, MOST_SECONDS)
-    waits = LEASE_PART * PLATFORM_LEASE_SECONDS
+    answer = max(ANSWER_SECONDS, MAX_TIMEOUT_SECONDS)
+    waits = MAX_WAIT_LEASE_FRACTION * PLATFORM_LEASE_SECONDS
     retries = (lost - 1) * (answer + RETRY_SECONDS)
-    between = waits + (waits + answer) + retries + LOOK_PAUSE_SECONDS
+    between = waits + (waits + answer) + retries + POLL_PAUSE_SECONDS
     assert between < PLATFORM_LEASE_SECONDS
 
 
@@ -155,7 +159,7 @@
 @pytest.mark.parametrize("is_settled", [False, True])
 def test_a_new_leader_waits_for_the_stops_of_the_one_before(rig, is_settled):
     minions = [LeasedMinion() for _ in range(2)]
-    here = rig(*minions, terms=replace(LEASE_TERMS, lapse_seconds=60.0))
+    here = rig(*minions, terms=replace(LEASE_TERMS, expiry_delay_seconds=60.0))
     here.submit(Step(2, lasts=True, max_away=1, max_per_minion=1))
     assert wait_until(lambda: at_work(here, 2) == 2, SECONDS)
     here.lead_again()
--- a/tests/test_load_backlog.py
+++ b/tests/test_load_backlog.py
@@ -16,9 +16,9 @@
 
 from hingepitch.httpd import wait_until
 from hingepitch.jobs import command as commands, session as session_module
-from hingepitch.jobs.plan import Outlook, plan_starts
+from hingepitch.jobs.plan import PlanContext, plan_starts
 from hingepitch.jobs.spec import Step
-from hingepitch.jobs.table import Room
+from hingepitch.jobs.table import ResourceUsage
 from standin.taskminion import TaskMinion
 from tests.test_dispatch import SECONDS, Rig
 from tests.test_job_rules import Log, make_config, make_minion
@@ -42,7 +42,7 @@
 
 def plan(log):
     """Return the starts of one planning pass."""
-    starts, _ = plan_starts(log.table, Outlook(0, set(log.table.minion_by_id)))
+    starts, _ = plan_starts(log.table, PlanContext(0, set(log.table.minion_by_id)))
     return starts
 
 
@@ -50,13 +50,13 @@
 def looks(monkeypatch):
     """The looks for room, as a list that grows."""
     made = []
-    fits = Room.fits
+    fits = ResourceUsage.fits
 
     def counted(room, minion, step):
         made.append(minion.id)
         return fits(room, minion, step)
 
-    monkeypatch.setattr(Room, "fits", counted)
+    monkeypatch.setattr(ResourceUsage, "fits", counted)
     return made
 
 
@@ -74,9 +74,9 @@
     clock = session_module.lease_seconds
     monkeypatch.setattr(session_module, "lease_seconds", lambda: clock() + ahead[0])
 
-    def long_pass(table, outlook):
+    def long_pass(table, plan_context):
         ahead[0] += LONG_PASS_SECONDS
-        return plan_starts(table, outlook)
+        return plan_starts(table, plan_context)
 
     monkeypatch.setattr(session_module, "plan_starts", long_pass)
     rig = Rig(TaskMinion(task_seconds=0.05))
--- a/tests/test_load_large_fleet.py
+++ b/tests/test_load_large_fleet.py
@@ -12,7 +12,7 @@
 from hingepitch.jobs import command as commands
 from hingepitch.jobs.duration import Durations
 from hingepitch.jobs.load import measure_pools
-from hingepitch.jobs.mover import MoveDesk
+from hingepitch.jobs.mover import MoveController
 from hingepitch.jobs.pool import PoolTerms
 from hingepitch.jobs.queue import Queue, QueuePool
 from tests.test_job_rules import HOST, Log, make_config, make_minion
@@ -54,7 +54,7 @@
         upkeep=SimpleNamespace(leaving_since_by_vm={}),
         measure_pools=lambda: measure_pools(table, 0, Durations()),
     )
-    return MoveDesk(session, None, PoolTerms(), 1.5), table
+    return MoveController(session, None, PoolTerms(), 1.5), table
 
 
 def cost_of_a_decision(count):
--- a/tests/test_load_lost_answers.py
+++ b/tests/test_load_lost_answers.py
@@ -12,10 +12,14 @@
 import pytest
 
 from hingepitch.httpd import wait_until
-from hingepitch.jobs.answer import LEAST_SECONDS, MOST_SECONDS, AnswerTime
-from hingepitch.jobs.contact import Look, ReplyKind, RunningRow
-from hingepitch.jobs.look import LookDesk
+from hingepitch.jobs.contact import PollResult, ReplyKind, RunningRow
+from hingepitch.jobs.poller import StatusPoller
 from hingepitch.jobs.record import JobStatus
+from hingepitch.jobs.replytime import (
+    MAX_TIMEOUT_SECONDS,
+    MIN_TIMEOUT_SECONDS,
+    ReplyTime,
+)
 from hingepitch.jobs.runview import RunViewStatus
 from hingepitch.jobs.spec import Step
 from tests.memory_minion import MemoryMinion
@@ -24,7 +28,7 @@
 
 #: A task that is ordered again has begun within this time, in seconds: the
 #: wait for an answer, one more order, and what a loaded test machine adds.
-AGAIN_SECONDS = LEAST_SECONDS + 0.2
+AGAIN_SECONDS = MIN_TIMEOUT_SECONDS + 0.2
 
 
 @pytest.fixture
@@ -47,7 +51,7 @@
     """Return the agents, once each knows how long answers take."""
     session = rig.dispatcher.session
     agents = list(session.agent_by_minion.values()) if session else []
-    known = [one for one in agents if one.answer_time.mean is not None]
+    known = [one for one in agents if one.reply_time.mean is not None]
     return known if len(known) == count else None
 
 
@@ -116,7 +120,7 @@
 
 def test_an_end_is_seen_soon_though_the_answer_of_a_held_look_is_lost(rig):
     minion = MemoryMinion(task_seconds=0.2)
-    here = rig(minion, terms=replace(TERMS, look_wait_ms=500))
+    here = rig(minion, terms=replace(TERMS, poll_wait_ms=500))
     agent = agents_of(here, 1)[0]
     assert wait_until(lambda: not agent.looks.is_needed(), SECONDS)
     minion.look_faults.append(True)
@@ -127,10 +131,10 @@
 
 def test_a_run_in_doubt_is_settled_beside_a_look_that_is_held(rig):
     minion = MemoryMinion(task_seconds=5.0)
-    here = rig(minion, terms=replace(TERMS, lease_seconds=9.0, look_wait_ms=5000))
+    here = rig(minion, terms=replace(TERMS, lease_seconds=9.0, poll_wait_ms=5000))
     here.submit(Step(1, lasts=True))
     agent = agents_of(here, 1)[0]
-    assert wait_until(lambda: agent.looks.is_held, SECONDS)
+    assert wait_until(lambda: agent.looks.is_long_polling, SECONDS)
     minion.start_faults += ["late", "late"]
     minion.late_seconds = 30
     here.log.submit(Step(1, lasts=True), job="f" * 16)
@@ -147,23 +151,27 @@
     assert wait_until(lambda: task() in agent.view_by_task, SECONDS)
     view = agent.view_by_task[task()]
     assert wait_until(lambda: view.status is RunViewStatus.RUNNING, SECONDS)
-    looks = LookDesk(agent)
-    looks.looked_at = 10.0
+    looks = StatusPoller(agent)
+    looks.polled_at = 10.0
     view.row = None
-    looks.take_look(Look(minion.reply(), (RunningRow(task(), 1, "", 7),)), 9.0, 0)
+    looks.process_result(
+        PollResult(minion.reply(), (RunningRow(task(), 1, "", 7),)), 9.0, 0
+    )
     assert view.row is None
-    looks.take_look(Look(minion.reply(), (RunningRow(task(), 1, "", 7),)), 11.0, 0)
+    looks.process_result(
+        PollResult(minion.reply(), (RunningRow(task(), 1, "", 7),)), 11.0, 0
+    )
     assert view.row.percent == 7
 
 
 def test_the_wait_for_an_answer_follows_what_answers_take():
-    answers = AnswerTime()
-    assert answers.limit_seconds == MOST_SECONDS
+    answers = ReplyTime()
+    assert answers.timeout_seconds == MAX_TIMEOUT_SECONDS
     for _ in range(20):
         answers.note(0.004)
-    assert answers.limit_seconds == LEAST_SECONDS
+    assert answers.timeout_seconds == MIN_TIMEOUT_SECONDS
     for _ in range(20):
         answers.note(0.09)
-    assert LEAST_SECONDS < answers.limit_seconds < MOST_SECONDS
+    assert MIN_TIMEOUT_SECONDS < answers.timeout_seconds < MAX_TIMEOUT_SECONDS
     answers.note(3.0)
-    assert answers.limit_seconds == MOST_SECONDS
+    assert answers.timeout_seconds == MAX_TIMEOUT_SECONDS
--- a/tests/test_load_wave.py
+++ b/tests/test_load_wave.py
@@ -14,12 +14,12 @@
 from hingepitch.clock import lease_seconds
 from hingepitch.jobs import command as commands
 from hingepitch.jobs.contact import RunningRow
-from hingepitch.jobs.plan import Outlook, plan_starts
+from hingepitch.jobs.plan import PlanContext, plan_starts
 from hingepitch.jobs.record import UpkeepStage
 from hingepitch.jobs.runview import RunView, RunViewStatus
 from hingepitch.jobs.spec import Step
-from hingepitch.jobs.upkeep import UpkeepDesk
-from hingepitch.jobs.watch import WARMING_LOOK_MS, WARMING_SECONDS, RunWatch
+from hingepitch.jobs.upkeep import UpkeepController
+from hingepitch.jobs.watch import WARMING_POLL_MS, WARMING_SECONDS, RunWatch
 from tests.test_job_rules import JOB, Log, make_config, make_minion, task
 from tests.test_load_large_fleet import make_desk
 
@@ -64,7 +64,7 @@
         log.send(commands.RegisterMinion(make_minion(number), 0))
     log.send(commands.PutWave(1, due, 1, 0))
     log.submit(Step(2, lasts=True, max_per_minion=2))
-    starts, _ = plan_starts(log.table, Outlook(0, set(log.table.minion_by_id)))
+    starts, _ = plan_starts(log.table, PlanContext(0, set(log.table.minion_by_id)))
     taken = {log.table.minion_by_id[start.minion].vm for start in starts}
     assert len(starts) == 2
     assert not taken & set(due)
@@ -76,7 +76,7 @@
     log.send(commands.RegisterMinion(make_minion(1), 0))
     log.send(commands.PutWave(1, ("vm-1",), 1, 0))
     log.submit(Step(2, lasts=True))
-    starts, _ = plan_starts(log.table, Outlook(0, {"i-1"}))
+    starts, _ = plan_starts(log.table, PlanContext(0, {"i-1"}))
     assert len(starts) == 2
 
 
@@ -91,16 +91,16 @@
     if percent is not None:
         view.row = RunningRow(task(0), 1, "", percent)
     session = SimpleNamespace(
-        terms=SimpleNamespace(look_wait_ms=LONGEST_LOOK_MS),
+        terms=SimpleNamespace(poll_wait_ms=LONGEST_LOOK_MS),
         step_of=lambda run: log.table.job_by_id[JOB].spec.steps[run.task.step],
     )
     agent = SimpleNamespace(view_by_task={task(0): view})
-    return RunWatch(session).look_wait_ms(agent)
+    return RunWatch(session).poll_wait_ms(agent)
 
 
 @pytest.mark.parametrize("percent", [None, 0, 60])
 def test_a_task_that_begins_to_last_is_looked_at_soon(percent):
-    assert make_watch(percent, lease_seconds()) == WARMING_LOOK_MS
+    assert make_watch(percent, lease_seconds()) == WARMING_POLL_MS
 
 
 def test_a_task_at_work_is_looked_at_seldom():
@@ -120,7 +120,7 @@
         commands=[],
         propose=lambda command: session.commands.append(command),
     )
-    desk = UpkeepDesk(session, None, UPKEEP_SECONDS)
+    desk = UpkeepController(session, None, UPKEEP_SECONDS)
     desk.leaving_since_by_vm["vm-1"] = 0.0
     return desk
 
@@ -132,8 +132,10 @@
     """A life that is known sooner may be from before, its first beat late."""
     settled_at = lease_seconds()
     life = SimpleNamespace(id="i-2")
-    met_at = settled_at + met_after
-    agent = SimpleNamespace(minion=life, beat_at=0.0, met_at=met_at)
+    first_seen_at = settled_at + met_after
+    agent = SimpleNamespace(
+        minion=life, last_heartbeat_at=0.0, first_seen_at=first_seen_at
+    )
     desk = make_upkeep(agent)
     desk.settled_at_by_vm["vm-1"] = settled_at
     desk.finish_if_back(SimpleNamespace(number=1), "vm-1", settled_at + met_after)
--- a/tests/test_many_queues.py
+++ b/tests/test_many_queues.py
@@ -15,7 +15,7 @@
 import pytest
 
 from hingepitch.clock import lease_seconds
-from hingepitch.jobs.mover import MoveDesk
+from hingepitch.jobs.mover import MoveController
 from hingepitch.jobs.pool import PoolTerms
 from hingepitch.jobs.question import AskPending
 from hingepitch.jobs.queue import Queue, QueueConfig, QueuePool
@@ -74,7 +74,7 @@
         agent_by_minion={},
         upkeep=SimpleNamespace(leaving_since_by_vm={}),
     )
-    desk = MoveDesk(session, None, PoolTerms(), 1.0)
+    desk = MoveController(session, None, PoolTerms(), 1.0)
     desk.demand.wanted = lambda pool, load, now: 7
     views = list(desk.views(log.table.config, lease_seconds()))
     assert [(view.name, view.wanted) for view in views] == [("pool", 7)]
--- a/tests/test_metric.py
+++ b/tests/test_metric.py
@@ -18,10 +18,10 @@
 BEGINNING_BYTES = 4000
 
 
-def agent(statuses=(), is_silent=False, may_start=True):
+def agent(statuses=(), is_unresponsive=False, may_start=True):
     views = {index: RunView(None, status) for index, status in enumerate(statuses)}
     return SimpleNamespace(
-        is_silent=is_silent,
+        is_unresponsive=is_unresponsive,
         health=MinionHealth(),
         may_start=lambda now: may_start,
         view_by_task=views,
@@ -46,7 +46,7 @@
     metrics = Metrics("test")
     agents = [
         agent([RunViewStatus.RUNNING, RunViewStatus.UNSURE]),
-        agent([RunViewStatus.RUNNING], is_silent=True),
+        agent([RunViewStatus.RUNNING], is_unresponsive=True),
         agent(may_start=False),
     ]
     DispatchGauge(metrics, None).note_minions(agents, 0.0)
@@ -73,6 +73,6 @@
 def test_a_process_that_no_longer_leads_shows_no_minions():
     metrics = Metrics("test")
     gauge = DispatchGauge(metrics, None)
-    gauge.note_minions([agent(is_silent=True)], 0.0)
+    gauge.note_minions([agent(is_unresponsive=True)], 0.0)
     gauge.show_nothing()
     assert 'hingepitch_minions{program="test",state="silent"} 0' in rendered(metrics)
