--- a/tests/test_mover.py
+++ b/tests/test_mover.py
@@ -11,7 +11,7 @@
 )
 from hingepitch.jobs.fleet import FleetReply, VmList, VmRow, VmState
 from hingepitch.jobs.load import PoolLoad
-from hingepitch.jobs.mover import MoveDesk
+from hingepitch.jobs.mover import MoveController
 from hingepitch.jobs.pool import PoolTerms
 from hingepitch.jobs.queue import Queue, QueuePool
 from hingepitch.jobs.spec import Step
@@ -65,9 +65,9 @@
 
 
 def move_by(rig, api):
-    rig.log.table.has_had_work = True
+    rig.log.table.has_seen_batch_job = True
     session = rig.dispatcher.session
-    session.mover = MoveDesk(session, api, TERMS, MOVE_SECONDS)
+    session.mover = MoveController(session, api, TERMS, MOVE_SECONDS)
     session.spawn(session.mover.run)
     return session.mover
 
@@ -99,7 +99,7 @@
     for number in range(9):
         rig.log.submit(Step(4, estimate_ms=900), job=f"{number:016x}")
     session = rig.dispatcher.session
-    desk = MoveDesk(session, FleetApi({}), TERMS, MOVE_SECONDS)
+    desk = MoveController(session, FleetApi({}), TERMS, MOVE_SECONDS)
     desk.demand.note_arrivals(lease_seconds())
     assert not desk.demand.rate_by_pool
     for number in range(9, 12):
@@ -155,7 +155,7 @@
 def test_an_unanswered_move_is_ordered_again_and_nothing_else_for_the_vm(
     rig, monkeypatch
 ):
-    monkeypatch.setattr(mover_module, "UNSURE_SECONDS", 1.0)
+    monkeypatch.setattr(mover_module, "UNKNOWN_OUTCOME_SECONDS", 1.0)
     api = FleetApi({"vm-0": "pool", "vm-1": "pool"})
     api.replies = [FleetReply.UNSURE, FleetReply.TOO_MANY]
     desk = move_by(rig, api)
@@ -163,7 +163,7 @@
     assert len({(vm, pool) for vm, pool, _ in api.moves}) == 1
     vm = api.moves[0][0]
     assert not desk.is_free(
-        vm, desk.taken_vms(desk.vms_in_upkeep()), desk.held_until_by_vm[vm] - 0.1
+        vm, desk.unavailable_vms(desk.vms_in_upkeep()), desk.held_until_by_vm[vm] - 0.1
     )
 
 
@@ -191,7 +191,7 @@
     api = FleetApi({"vm-8": "off", "vm-9": "off"})
     api.replies = [FleetReply.UNKNOWN_VM]
     desk = move_by(rig, api)
-    assert wait_until(lambda: desk.spare_vms, SECONDS)
+    assert wait_until(lambda: desk.spare_pool_by_vm, SECONDS)
     rig.submit(Step(3, cpu_millicores=9000, lasts=True))
     assert wait_until(lambda: len(api.moves) >= 2, 3), "no other VM is tried"
     assert api.moves[0][0] != api.moves[1][0]
@@ -200,7 +200,7 @@
 def test_a_vm_that_never_arrives_is_not_waited_for(rig, monkeypatch):
     api = FleetApi({"vm-8": "off", "vm-9": "off"})
     desk = move_by(rig, api)
-    monkeypatch.setattr(type(rig.dispatcher.session), "silence_seconds", 0.3)
+    monkeypatch.setattr(type(rig.dispatcher.session), "silence_timeout_seconds", 0.3)
     rig.submit(Step(3, cpu_millicores=9000, lasts=True))
     assert wait_until(lambda: len(api.moves) >= 2, 4), "no other VM is taken"
     assert desk.incoming("pool") <= 1
@@ -217,7 +217,7 @@
 def test_a_vm_that_goes_to_the_spares_is_not_wanted_back_before_it_is_there(rig):
     api = FleetApi({"vm-0": "pool", "vm-1": "pool"})
     desk = move_by(rig, api)
-    assert wait_until(lambda: desk.spare_vms, SECONDS)
+    assert wait_until(lambda: desk.spare_pool_by_vm, SECONDS)
     given_at = lease_seconds()
     rig.submit(Step(3, cpu_millicores=9000, lasts=True))
     assert wait_until(lambda: len(api.moves) == 2, SECONDS)
@@ -240,20 +240,20 @@
 
 
 def test_a_list_that_shows_a_spare_vm_on_its_way_does_not_lose_it(rig):
-    desk = MoveDesk(rig.dispatcher.session, FleetApi({}), TERMS, MOVE_SECONDS)
-    desk.spare_vms = {"vm-8": "off", "vm-9": "off"}
+    desk = MoveController(rig.dispatcher.session, FleetApi({}), TERMS, MOVE_SECONDS)
+    desk.spare_pool_by_vm = {"vm-8": "off", "vm-9": "off"}
     desk.hold("vm-8", MOVE_SECONDS)
-    desk.take_list([VmRow("vm-8", "off", VmState.MOVING, "h", "", "a")])
-    assert desk.spare_vms == {"vm-8": "off"}
+    desk.apply_vm_list([VmRow("vm-8", "off", VmState.MOVING, "h", "", "a")])
+    assert desk.spare_pool_by_vm == {"vm-8": "off"}
 
 
 def test_a_pool_that_lost_all_its_minions_is_wanted_back(rig):
     session = rig.dispatcher.session
-    desk = MoveDesk(session, FleetApi({}), TERMS, MOVE_SECONDS)
+    desk = MoveController(session, FleetApi({}), TERMS, MOVE_SECONDS)
     now = lease_seconds()
     nothing = PoolLoad()
     assert desk.demand.wanted("pool", nothing, now) == 0, "none has come yet"
-    rig.log.table.has_had_work = True
+    rig.log.table.has_seen_batch_job = True
     assert not desk.demand.is_known(now)
     assert desk.demand.wanted("pool", nothing, now + 1) == TERMS.floor
 
@@ -263,7 +263,7 @@
 def test_a_move_that_was_done_before_ends_no_life_that_came_by_it(rig):
     api = FleetApi({"vm-0": "pool", "vm-1": "pool"})
     session = rig.dispatcher.session
-    desk = MoveDesk(session, api, TERMS, MOVE_SECONDS)
+    desk = MoveController(session, api, TERMS, MOVE_SECONDS)
     rig.log.send(commands.BeginMove("vm-0", "pool"))
     latest = TaskMinion()
     record = make_minion(
@@ -273,6 +273,6 @@
     # It is registered before the order goes out.
     rig.log.send(commands.RegisterMinion(record, 0))
     rig.replica.wake()
-    assert wait_until(lambda: not desk.calling, SECONDS)
+    assert wait_until(lambda: not desk.vms_in_call, SECONDS)
     assert latest.life in rig.log.table.minion_by_id
     latest.close()
--- a/tests/test_names_and_times.py
+++ b/tests/test_names_and_times.py
@@ -8,7 +8,7 @@
 from hingepitch.jobs.arrival import ArrivalRate, work_core_ms
 from hingepitch.jobs.duration import Durations
 from hingepitch.jobs.load import measure_pools
-from hingepitch.jobs.plan import Outlook, plan_starts
+from hingepitch.jobs.plan import PlanContext, plan_starts
 from hingepitch.jobs.pool import (
     IdleVm,
     PoolTerms,
@@ -83,12 +83,12 @@
             path=queue.path_prefix,
             at_ms=at_ms + shift_ms,
         )
-        durations.note(queue.place, step, source.randint(100, 3000))
-        expected_ms = durations.of_queue(queue.place)
+        durations.note(queue.route, step, source.randint(100, 3000))
+        expected_ms = durations.queue_estimator(queue.route)
         job = log.table.job_by_id[f"{number:016x}"]
         rates[pool].note(work_core_ms(job.spec, expected_ms), at_ms / 1000)
-    outlook = Outlook(now_ms, set(log.table.minion_by_id), durations=durations)
-    starts, gangs = plan_starts(log.table, outlook)
+    plan_context = PlanContext(now_ms, set(log.table.minion_by_id), durations=durations)
+    starts, gangs = plan_starts(log.table, plan_context)
     log.send(commands.StartRuns(starts, gangs, now_ms))
     loads = measure_pools(log.table, now_ms, durations)
     views = []
--- a/tests/test_odd_commands.py
+++ b/tests/test_odd_commands.py
@@ -19,7 +19,7 @@
 from hingepitch.jobs import command as commands
 from hingepitch.jobs.duration import Durations
 from hingepitch.jobs.load import measure_pools
-from hingepitch.jobs.plan import Outlook, plan_starts
+from hingepitch.jobs.plan import PlanContext, plan_starts
 from hingepitch.jobs.queue import Queue, QueueConfig, QueuePool
 from hingepitch.jobs.record import Minion, RunResult, UpkeepStage
 from hingepitch.jobs.spec import JobSpec, Step
@@ -152,7 +152,7 @@
         self.send(Role.DISPATCHER, commands.EndMove("vm-2"))
         repeated = tuple(table.repeated_jobs)
         self.send(Role.DISPATCHER, commands.OpenRounds(repeated))
-        starts, gangs = plan_starts(table, self.outlook())
+        starts, gangs = plan_starts(table, self.plan_context())
         start = commands.StartRuns(starts, gangs, self.number())
         self.send(Role.DISPATCHER, start)
         measure_pools(table, WALL_MS, Durations())
@@ -169,10 +169,10 @@
         self.send(Role.DISPATCHER, commands.EndRuns(ends, self.number()))
         return len(starts)
 
-    def outlook(self):
+    def plan_context(self):
         lives = set(self.state.jobs.minion_by_id)
         doubt = dict.fromkeys(lives, 0)
-        return Outlook(WALL_MS, lives, doubt, {}, Durations(), 2.0, {})
+        return PlanContext(WALL_MS, lives, doubt, {}, Durations(), 2.0, {})
 
 
 @pytest.mark.parametrize("seed", range(20))
--- a/tests/test_other_writers.py
+++ b/tests/test_other_writers.py
@@ -93,7 +93,7 @@
     session = wait_for_session(rig)
     session.agents.uncallable["later"] = "nowhere"
     record = replace(good, id="later", vm="vm-later")
-    assert session.agents.meet(record) is not None
+    assert session.agents.start_agent(record) is not None
 
 
 def wait_for_session(rig):
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -5,11 +5,11 @@
 
 from hingepitch.httpd import wait_until
 from hingepitch.jobs import command as commands
-from hingepitch.jobs.pace import Neighbour, next_percent
+from hingepitch.jobs.pace import ServingTask, next_percent
 from hingepitch.jobs.permission import (
     MARGIN_SECONDS,
     MINIONS_IN_CALL,
-    PermissionDesk,
+    PermissionController,
 )
 from hingepitch.jobs.queue import AdviceTerms, Queue
 from hingepitch.jobs.record import JobStatus
@@ -32,8 +32,8 @@
     ],
 )
 def test_fillers_stop_in_time_and_come_back_slowly(percent, tails, expected):
-    neighbours = [Neighbour(tail, 100) for tail in tails]
-    assert next_percent(percent, neighbours) == expected
+    serving_tasks = [ServingTask(tail, 100) for tail in tails]
+    assert next_percent(percent, serving_tasks) == expected
 
 
 class Adviser:
@@ -65,7 +65,7 @@
 
 def advise(rig, adviser):
     session = rig.dispatcher.session
-    session.permissions = PermissionDesk(session, adviser)
+    session.permissions = PermissionController(session, adviser)
     session.spawn(session.permissions.run)
 
 
@@ -115,14 +115,16 @@
     for minion in advised_rig.minions:
         advised_rig.log.send(commands.RemoveMinion(minion.life, 0))
     advised_rig.log.submit(Step(1))
-    desk = PermissionDesk(advised_rig.dispatcher.session, Adviser())
+    desk = PermissionController(advised_rig.dispatcher.session, Adviser())
     assert rested(desk, monkeypatch)
 
 
 def test_a_minion_that_came_later_is_asked_about_beside_full_ones(advised_rig):
     first = advised_rig.minions[0]
     fresh = make_minion(7, cpu_millicores=16_000)
-    desk = PermissionDesk(advised_rig.dispatcher.session, Adviser(first.life, fresh.id))
+    desk = PermissionController(
+        advised_rig.dispatcher.session, Adviser(first.life, fresh.id)
+    )
     advised_rig.log.submit(Step(2, max_per_minion=1))
     key = (JOB, 0, 0)
     desk.ask(key)
@@ -137,7 +139,7 @@
 def test_a_permission_for_a_life_that_is_gone_is_none(advised_rig):
     first, second = advised_rig.minions
     adviser = Adviser(first.life)
-    desk = PermissionDesk(advised_rig.dispatcher.session, adviser)
+    desk = PermissionController(advised_rig.dispatcher.session, adviser)
     advised_rig.log.submit(Step(1))
     key = (JOB, 0, 0)
     desk.ask(key)
@@ -152,7 +154,7 @@
         minion = make_minion(number, id=life)
         advised_rig.log.send(commands.RegisterMinion(minion, 0))
     adviser = Adviser(lives[-1])
-    desk = PermissionDesk(advised_rig.dispatcher.session, adviser)
+    desk = PermissionController(advised_rig.dispatcher.session, adviser)
     advised_rig.log.submit(Step(1))
     key = (JOB, 0, 0)
     for _ in range(3):
@@ -161,7 +163,7 @@
     assert desk.permitted(key) == {lives[-1]}
 
 
-class CountedDesk(PermissionDesk):
+class CountedDesk(PermissionController):
     """Counts its turns, and fails before it holds the process for good."""
 
     turns = 0
--- a/tests/test_peer_words.py
+++ b/tests/test_peer_words.py
@@ -19,7 +19,7 @@
 import pytest
 
 from hingepitch.control import peer
-from hingepitch.control.healing import GroupKeeper
+from hingepitch.control.healing import GroupReconciler
 from hingepitch.control.message import Member, Message, MessageKind
 from hingepitch.control.peer import PeerLinks, from_wire, to_wire
 from hingepitch.entry.follower import Follower
@@ -110,9 +110,9 @@
         is_leader=True,
         core=SimpleNamespace(term=1, members=(), leader="a"),
     )
-    keeper = GroupKeeper(replica, None, None, None, 3)
+    keeper = GroupReconciler(replica, None, None, None, 3)
     question = JoinGroup("b~1", "b", NO_ADDRESS, "h")
-    assert_refused("bad_request", keeper.welcome, question)
+    assert_refused("bad_request", keeper.register_applicant, question)
     assert keeper.applicant_by_identity == {}
 
 
--- a/tests/test_repetition.py
+++ b/tests/test_repetition.py
@@ -11,7 +11,7 @@
 
 from hingepitch.httpd import wait_until
 from hingepitch.jobs import health as health_module, watch as watch_module
-from hingepitch.jobs.restart import MAX_TASKS, RestartBook, pause_seconds
+from hingepitch.jobs.restart import MAX_TASKS, RestartBackoff, backoff_seconds
 from hingepitch.jobs.spec import Step
 from hingepitch.model import command as commands
 from hingepitch.model.record import JobState
@@ -51,11 +51,11 @@
 
 
 def test_the_pause_grows_to_a_bound_and_ends_with_a_long_run():
-    pauses = [pause_seconds(ends) for ends in range(1, 40)]
+    pauses = [backoff_seconds(ends) for ends in range(1, 40)]
     assert pauses[0] == 0
     assert pauses == sorted(pauses)
     assert pauses[-1] <= 2.0
-    book = RestartBook()
+    book = RestartBackoff()
     for now in range(3):
         book.note_end(task(), 0.1, now)
     assert book.paused(2.0) == {task()}
@@ -64,18 +64,18 @@
 
 
 def test_the_tasks_that_are_remembered_are_bounded():
-    book = RestartBook()
+    book = RestartBackoff()
     for index in range(MAX_TASKS + 5):
         book.note_end(task(index=index), 0.1, index)
-    assert len(book.pause_by_task) == MAX_TASKS
+    assert len(book.backoff_by_task) == MAX_TASKS
 
 
 def test_a_task_that_stands_still_everywhere_is_moved_ever_more_rarely(
     rig, monkeypatch
 ):
-    monkeypatch.setattr(health_module, "HUNG_SECONDS", 0.3)
-    monkeypatch.setattr(health_module, "SICK_FROM", 100)
-    monkeypatch.setattr(watch_module, "MAX_STALLS", 2)
+    monkeypatch.setattr(health_module, "STALL_SECONDS", 0.3)
+    monkeypatch.setattr(health_module, "EXCLUDED_FROM_JOBS", 100)
+    monkeypatch.setattr(watch_module, "STALLS_BEFORE_DOUBLING", 2)
     minions = [TaskMinion() for _ in range(3)]
     here = rig(*minions)
     here.submit(Step(1))
@@ -85,6 +85,6 @@
 
     assert wait_until(lambda: starts() == 4, SECONDS)
     watch = here.dispatcher.session.watch
-    assert [watch.patience(task()) for _ in range(2)] == [2, 2]
+    assert [watch.stall_factor(task()) for _ in range(2)] == [2, 2]
     assert wait_until(lambda: starts() == 5, SECONDS)
-    assert watch.patience(task()) == 4
+    assert watch.stall_factor(task()) == 4
--- a/tests/test_review_findings.py
+++ b/tests/test_review_findings.py
@@ -15,7 +15,7 @@
 import pytest
 from gevent.event import Event
 
-from hingepitch.control import founding
+from hingepitch.control import bootstrap
 from hingepitch.control.audit import decode_line
 from hingepitch.control.message import Entry, EntryKind, Member
 from hingepitch.control.snapshot import decode_snapshot
@@ -72,12 +72,12 @@
     The program ended with the error. Its next start is not the first one, does
     not found, and took a new identity that no group knows.
     """
-    monkeypatch.setattr(founding, "FOUND_PAUSE_SECONDS", 0.01)
+    monkeypatch.setattr(bootstrap, "BOOTSTRAP_RETRY_SECONDS", 0.01)
     folder = tmp_path / "data"
     folder.mkdir()
     disk = PowerDisk(folder)
     disk.refuse(Refusal(after=after))
-    founding.found_when_possible((folder, "c1", MEMBERS, disk), Event())
+    bootstrap.bootstrap_when_possible((folder, "c1", MEMBERS, disk), Event())
     storage = Storage(folder, "c1", disk)
     recovered = storage.open()
     storage.close()
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -49,7 +49,7 @@
     assert wait_until(lambda: len(minion.running) == 2, SECONDS)
     session = rig.dispatcher.session
     (agent,) = session.agent_by_minion.values()
-    assert wait_until(lambda: agent.looks.looked_at > 0, SECONDS)
+    assert wait_until(lambda: agent.looks.polled_at > 0, SECONDS)
     rig.relays[0].silence()
     silenced_at = lease_seconds()
     for name in list(minion.running):
--- a/tests/test_silent_minion.py
+++ b/tests/test_silent_minion.py
@@ -25,7 +25,7 @@
 from hingepitch.error import HingepitchError
 from hingepitch.httpd import wait_until
 from hingepitch.jobs import command as commands
-from hingepitch.jobs.contact import Look, Reply, ReplyKind
+from hingepitch.jobs.contact import PollResult, Reply, ReplyKind
 from hingepitch.jobs.record import RunResult
 from hingepitch.jobs.spec import Step
 from hingepitch.request import Failure, Request, Run
@@ -73,9 +73,9 @@
 
     def look(self, order, seconds):
         if self.is_mute:
-            return Look(self.no_answer(seconds))
+            return PollResult(self.no_answer(seconds))
         if self.refusal is not None:
-            return Look(self.reply(self.refusal))
+            return PollResult(self.reply(self.refusal))
         self.lapse()
         self.until_ms = max(self.until_ms, order.lease_until_ms or 0)
         return super().look(order, seconds)
@@ -207,14 +207,14 @@
     here, busy, free = pair
     agent = agent_of(here, busy)
     busy.is_mute = True
-    assert wait_until(lambda: agent.is_silent, SECONDS)
-    lease_over_at = agent.lease_over_at
+    assert wait_until(lambda: agent.is_unresponsive, SECONDS)
+    lease_expired_at = agent.lease_expired_at
     keys = [task(index=index, job=OTHER_JOB) for index in range(4)]
     assert here.log.submit(Step(4), job=OTHER_JOB) == ""
     here.log.start(*keys, minion=busy.life)
     here.replica.wake()
     assert wait_until(lambda: len(free.running) >= len(keys), SECONDS)
-    assert agent.lease_over_at == lease_over_at
+    assert agent.lease_expired_at == lease_expired_at
 
 
 def test_a_lapsed_minion_is_not_counted_as_present_in_its_pool(pair):
@@ -228,7 +228,7 @@
 
     assert present() == 2
     busy.is_mute = True
-    assert wait_until(lambda: agent.is_silent, SECONDS)
+    assert wait_until(lambda: agent.is_unresponsive, SECONDS)
     assert present() == 2
     assert wait_until(lambda: present() == 1, NEXT_RUN_SECONDS)
     busy.is_mute = False
--- a/tests/test_slow_disk.py
+++ b/tests/test_slow_disk.py
@@ -83,7 +83,7 @@
         self.replica.open()
         self.greenlets = [
             gevent.spawn(self.replica.handle_forever),
-            gevent.spawn(self.replica.write_ahead),
+            gevent.spawn(self.replica.write_in_background),
         ]
 
     def hear(self, kind, sender="n1", term=1, **fields):
--- a/tests/test_start_waits.py
+++ b/tests/test_start_waits.py
@@ -17,7 +17,7 @@
 from gevent.event import Event
 
 from hingepitch.app import Application
-from hingepitch.control import founding
+from hingepitch.control import bootstrap
 from hingepitch.control.message import Member
 from hingepitch.control.storage import Storage, found_folder
 from hingepitch.control.writer import LogWriter
@@ -101,7 +101,7 @@
 
 def test_a_data_folder_that_stays_in_use_ends_the_start(tmp_path, monkeypatch):
     monkeypatch.setattr("hingepitch.control.replica.PAUSE_AFTER_FAULT_SECONDS", 0.01)
-    monkeypatch.setattr("hingepitch.control.replica.LOCKED_SECONDS", 0.05)
+    monkeypatch.setattr("hingepitch.control.replica.LOCK_WAIT_SECONDS", 0.05)
     found_folder(tmp_path, "c1", MEMBERS)
     other = Storage(tmp_path, "c1")
     other.open()
@@ -112,7 +112,7 @@
 
 
 def test_a_disk_that_refuses_at_the_first_start_is_waited_for(tmp_path, monkeypatch):
-    monkeypatch.setattr(founding, "FOUND_PAUSE_SECONDS", 0.01)
+    monkeypatch.setattr(bootstrap, "BOOTSTRAP_RETRY_SECONDS", 0.01)
     refusals = [errno.EIO, errno.ENOSPC]
 
     def refuse(*arguments):
@@ -120,8 +120,8 @@
             raise OSError(refusals.pop(), "refused")
         return found_folder(*arguments)
 
-    monkeypatch.setattr(founding, "found_folder", refuse)
-    founding.found_when_possible((tmp_path, "c1", MEMBERS), Event())
+    monkeypatch.setattr(bootstrap, "found_folder", refuse)
+    bootstrap.bootstrap_when_possible((tmp_path, "c1", MEMBERS), Event())
     storage = Storage(tmp_path, "c1")
     assert storage.open().members == MEMBERS
     storage.close()
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -85,11 +85,11 @@
     assert wait_until(lambda: first.running, SECONDS)
     first.faults.looks += ["dropped"] * 50
     agent = here.dispatcher.session.agent_by_minion[first.life]
-    assert wait_until(lambda: agent.is_silent, SECONDS)
+    assert wait_until(lambda: agent.is_unresponsive, SECONDS)
     here.minions = (first, second)
     here.register(1, second)
     suspend(10.0)
-    assert agent.lease_over_at < clock.lease_seconds()
+    assert agent.lease_expired_at < clock.lease_seconds()
     assert wait_until(lambda: second.running, SECONDS)
 
 
--- a/tests/test_unread_entry.py
+++ b/tests/test_unread_entry.py
@@ -74,7 +74,7 @@
         self.replica.open()
         self.greenlets = [
             gevent.spawn(self.replica.run),
-            gevent.spawn(self.replica.write_ahead),
+            gevent.spawn(self.replica.write_in_background),
         ]
 
     @property
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -15,7 +15,7 @@
 from hingepitch.jobs.fleet import FleetReply, VmList, VmRow, VmState
 from hingepitch.jobs.record import JobStatus, UpkeepStage
 from hingepitch.jobs.spec import Step
-from hingepitch.jobs.upkeep import UpkeepDesk, needed_at_once
+from hingepitch.jobs.upkeep import UpkeepController, required_concurrency
 from standin.taskminion import TaskMinion
 from tests.test_dispatch import SECONDS, Rig
 from tests.test_job_rules import JOB, make_minion, task
@@ -62,8 +62,8 @@
         )
         self.rig.log.send(commands.RegisterMinion(record, 0))
         self.rig.replica.wake()
-        self.rig.dispatcher.session.agents.match()
-        self.rig.dispatcher.note_beat(minion.life, minion.clock_ms())
+        self.rig.dispatcher.session.agents.reconcile()
+        self.rig.dispatcher.note_heartbeat(minion.life, minion.clock_ms())
 
     def list_vms(self, seconds):
         if self.listed is None:
@@ -82,7 +82,7 @@
 
 def begin_wave(rig, platform, max_down=2, seconds=20):
     session = rig.dispatcher.session
-    session.upkeep = UpkeepDesk(session, platform, UPKEEP_SECONDS)
+    session.upkeep = UpkeepController(session, platform, UPKEEP_SECONDS)
     session.spawn(session.upkeep.run)
     vms = tuple(f"vm-{number}" for number in range(4))
     due_ms = wall_ms() + seconds * 1000
@@ -182,7 +182,7 @@
 
 def test_a_vm_that_is_missing_from_one_list_only_keeps_its_wave_open(rig):
     platform = Platform(rig)
-    desk = UpkeepDesk(rig.dispatcher.session, platform, UPKEEP_SECONDS)
+    desk = UpkeepController(rig.dispatcher.session, platform, UPKEEP_SECONDS)
     platform.listed = ["vm-1"]
     assert not desk.is_gone("vm-0", 10.0)
     platform.listed = ["vm-0", "vm-1"]
@@ -195,7 +195,7 @@
 
 def test_a_vm_whose_entry_cannot_be_read_is_not_gone(rig):
     platform = Platform(rig)
-    desk = UpkeepDesk(rig.dispatcher.session, platform, UPKEEP_SECONDS)
+    desk = UpkeepController(rig.dispatcher.session, platform, UPKEEP_SECONDS)
     platform.listed = ["vm-1"]
     platform.unread = 1
     for now in (10.0, 11.5, 13.0, 14.5):
@@ -211,7 +211,7 @@
     rig.log.send(commands.BeginUpkeep(1, "vm-0", 0))
     platform = Platform(rig)
     session = rig.dispatcher.session
-    session.upkeep = UpkeepDesk(session, platform, UPKEEP_SECONDS)
+    session.upkeep = UpkeepController(session, platform, UPKEEP_SECONDS)
     session.spawn(session.upkeep.run)
     wave = rig.log.table.wave_by_number[1]
     assert wait_until(lambda: wave.stage_by_vm["vm-0"] is UpkeepStage.OVER, SECONDS)
@@ -223,11 +223,11 @@
     [(30, 13, 3), (30, 1, 1), (5, 8, 8), (0, 3, 3), (-4, 2, 2), (1000, 40, 1)],
 )
 def test_a_wave_needs_so_many_vms_down_at_once(seconds_left, waiting, at_once):
-    assert needed_at_once(seconds_left, waiting, upkeep_seconds=2.0) == at_once
+    assert required_concurrency(seconds_left, waiting, upkeep_seconds=2.0) == at_once
 
 
 def test_while_a_pool_lacks_vms_a_wave_takes_no_more_than_it_needs(rig):
-    rig.dispatcher.session.mover.is_lacking = True
+    rig.dispatcher.session.mover.has_shortage = True
     platform = Platform(rig)
     wave = begin_wave(rig, platform, max_down=4, seconds=30)
     assert wait_until(lambda: wave.is_done, 20)
@@ -235,14 +235,14 @@
 
 
 def test_a_wave_that_has_little_time_takes_all_it_may(rig):
-    rig.dispatcher.session.mover.is_lacking = True
+    rig.dispatcher.session.mover.has_shortage = True
     platform = Platform(rig)
     wave = begin_wave(rig, platform, max_down=4, seconds=1)
     assert wait_until(lambda: wave.is_done, 20)
     assert platform.most_down == 4
 
 
-class FailingDesk(UpkeepDesk):
+class FailingDesk(UpkeepController):
     """A desk that fails at one wave, whenever it gets to it."""
 
     failing = 1
--- a/tests/test_waiting_beside_room.py
+++ b/tests/test_waiting_beside_room.py
@@ -16,10 +16,10 @@
 from hingepitch.httpd import wait_until
 from hingepitch.jobs import command as commands
 from hingepitch.jobs.fleet import FleetReply
-from hingepitch.jobs.plan import Outlook, plan_starts
+from hingepitch.jobs.plan import PlanContext, plan_starts
 from hingepitch.jobs.rack import slots_on
 from hingepitch.jobs.spec import Step
-from hingepitch.jobs.upkeep import UpkeepDesk
+from hingepitch.jobs.upkeep import UpkeepController
 from standin.taskminion import TaskMinion
 from tests.test_dispatch import SECONDS, Rig
 from tests.test_job_plan import OTHER, make_log
@@ -36,14 +36,14 @@
     """Plan and record until nothing changes."""
     for _ in range(PASSES):
         usable = set(log.table.minion_by_id)
-        starts, gangs = plan_starts(log.table, Outlook(0, usable))
+        starts, gangs = plan_starts(log.table, PlanContext(0, usable))
         log.send(commands.StartRuns(starts, gangs, 0))
 
 
 def slots(log, step):
     """Return how many more tasks of the step of `JOB` its pool has room for."""
     table = log.table
-    carried = table.carried_by_step.get((JOB, 0, 0), {})
+    carried = table.run_counts_by_step.get((JOB, 0, 0), {})
     total = 0
     for minion in table.minion_by_id.values():
         if step.required_label and step.required_label not in minion.labels:
@@ -143,13 +143,13 @@
         log.start(task(job=job), minion=f"i-{number}")
     log.submit(Step(4, cpu_millicores=2000, estimate_ms=1000, same_rack=True))
     for waited_ms, expected in ((0, 0), (2000, 0), (2001, 4)):
-        outlook = Outlook(
+        plan_context = PlanContext(
             0,
             set(log.table.minion_by_id),
-            far_factor=3.0,
+            cross_rack_slowdown=3.0,
             rack_waited_ms_by_step={(JOB, 0, 0): waited_ms},
         )
-        assert len(plan_starts(log.table, outlook)[0]) == expected
+        assert len(plan_starts(log.table, plan_context)[0]) == expected
 
 
 def test_a_leader_notes_how_long_a_step_waits_for_its_rack():
@@ -161,13 +161,13 @@
         late = Step(2, cpu_millicores=16_000, estimate_ms=9000, same_rack=True)
         rig.log.submit(late, job=OTHER)
         key = (OTHER, 0, 0)
-        first = session.outlook().rack_waited_ms_by_step[key]
+        first = session.plan_context().rack_waited_ms_by_step[key]
         assert wait_until(
-            lambda: session.outlook().rack_waited_ms_by_step.get(key, 0) > first,
+            lambda: session.plan_context().rack_waited_ms_by_step.get(key, 0) > first,
             SECONDS,
         )
         assert wait_until(lambda: key not in rig.log.table.ready_steps, SECONDS)
-        assert not session.outlook().rack_waited_ms_by_step
+        assert not session.plan_context().rack_waited_ms_by_step
     finally:
         rig.close()
 
@@ -194,7 +194,7 @@
         vm = rig.log.table.minion_by_id[lost.life].vm
         lost.faults.looks += ["dropped"] * 1000
         lost.faults.stops += ["dropped"] * 1000
-        session.upkeep = UpkeepDesk(session, Platform(), 0.4)
+        session.upkeep = UpkeepController(session, Platform(), 0.4)
         session.spawn(session.upkeep.run)
         rig.log.send(commands.PutWave(1, (vm,), 1, wall_ms() + 20_000))
         assert wait_until(lambda: free.starts, 2 * SECONDS)
