--- a/hingepitch/control/__init__.py
+++ b/hingepitch/control/__init__.py
@@ -2,7 +2,7 @@
 hingepitch.control
 ~~~~~~~~~~~~~~~~~~
 
-The control part of hingepitch.
+The control replica: replicated log, data folder and APIs.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
--- a/hingepitch/control/admission.py
+++ b/hingepitch/control/admission.py
@@ -2,7 +2,7 @@
 hingepitch.control.admission
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Admission of commands: bounded lanes, taken in turn.
+Admission of commands: bounded queues, served round-robin.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -21,16 +21,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Waiting:
-    """A command that waits for its place in the log."""
+    """A command that waits to be appended to the log."""
 
     payload: bytes
     result: object
 
 
 class Admission:
-    """Commands waiting for the log, one lane for each partner or role.
+    """Queues of waiting commands, one lane for each partner or role.
 
-    A lane that is full refuses at once; lanes are served in turn, so that
+    A full lane refuses commands at once. Lanes are served round-robin, so that
     neither partner can starve the other.
     """
 
@@ -39,25 +39,25 @@
         self.lane_by_name = {}
 
     def put(self, lane_name, waiting):
-        """Add a command to a lane; raise `queue_full`."""
+        """Add a command to a lane; raise `queue_full` if the lane is full."""
         lane = self.lane_by_name.setdefault(lane_name, deque())
         if len(lane) >= self.max_waiting:
-            detail = f"{len(lane)} commands of {lane_name} wait"
+            detail = f"{len(lane)} commands of {lane_name} are waiting"
             raise HingepitchError("queue_full", detail, RETRY_AFTER_MS)
         lane.append(waiting)
 
     @property
     def has_waiting(self):
-        """Whether any command waits."""
+        """Whether any command is waiting."""
         return any(self.lane_by_name.values())
 
     @property
     def size(self):
-        """How many commands wait."""
+        """Number of waiting commands."""
         return sum(map(len, self.lane_by_name.values()))
 
     def take(self, limit):
-        """Return at most `limit` commands, from each lane in turn."""
+        """Remove and return at most `limit` commands, round-robin from the lanes."""
         taken = []
         while len(taken) < limit:
             lanes = [lane for lane in self.lane_by_name.values() if lane]
@@ -65,11 +65,11 @@
                 break
             for lane in lanes[: limit - len(taken)]:
                 taken.append(lane.popleft())
-        self.turn()
+        self.rotate_lanes()
         return taken
 
-    def turn(self):
-        """Let another lane be the first next time."""
+    def rotate_lanes(self):
+        """Move the first lane to the end, so that another one is served first."""
         if self.lane_by_name:
             first = next(iter(self.lane_by_name))
             self.lane_by_name[first] = self.lane_by_name.pop(first)
--- a/hingepitch/control/audit.py
+++ b/hingepitch/control/audit.py
@@ -2,7 +2,7 @@
 hingepitch.control.audit
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-The audit trail: every operator command, accepted or refused.
+The audit trail: a record of each operator command, accepted or refused.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -12,42 +12,43 @@
 
 import msgspec
 
-from hingepitch.control.snapshot import TrailMark
+from hingepitch.control.snapshot import TrailPosition
 from hingepitch.disk import Disk
 from hingepitch.durable import run_off_loop
 from hingepitch.log import log_event
 
 __all__ = ["AuditRecord", "AuditTrail"]
 
-#: Largest size of all files, in bytes, unless the settings say another.
-KEEP_BYTES = 1_000_000_000
+#: Default limit of the size of all files together, in bytes.
+DEFAULT_MAX_BYTES = 1_000_000_000
 
-#: Largest size of one file, in bytes, and its largest part of all: the oldest
-#: file goes as a whole.
+#: Largest size of one file, in bytes, and as a fraction of the limit of all files:
+#: the trail is shortened by removing its oldest file.
 MAX_FILE_BYTES = 16_000_000
-LARGEST_PART = 0.25
+MAX_FILE_FRACTION = 0.25
 
 FILE_GLOB = "audit-*.jsonl"
 
-#: Records are written in pieces of this size, in bytes: a call of the system
-#: for each would cost the loop more than its encoding.
+#: Size of the write buffer, in bytes: a system call for each record would cost the
+#: event loop more time than encoding the record.
 BUFFER_BYTES = 8192
 
-#: Command in the place of records that are not there.
-MISSING = "(missing)"
+#: Command of a record that stands for missing records.
+MISSING_COMMAND = "(missing)"
 
 
 class AuditRecord(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What one operator command did.
+    """One operator command and its effect.
 
     `index`
-        Place in the log.
+        Log index of the command.
     `code`
-        Empty if accepted.
+        Error code; empty if the command was accepted.
     `before`, `after`
-        The object, as plain values, or None where there was none.
+        The object as plain values, or None if it did not exist.
     `missing_after`
-        -1, or: the records after this place up to `index` are not here.
+        -1 for a command. Otherwise the record stands for the missing records
+        after this log index, up to and including `index`.
     """
 
     index: int
@@ -67,13 +68,13 @@
 DECODER = msgspec.json.Decoder(AuditRecord)
 
 
-def missing_records(after, index):
-    """Return the record that stands for those after a place up to `index`."""
-    return AuditRecord(index, 0, "", "", MISSING, "", "", missing_after=after)
+def make_missing_record(after, index):
+    """Return the record for missing records after log index `after` up to `index`."""
+    return AuditRecord(index, 0, "", "", MISSING_COMMAND, "", "", missing_after=after)
 
 
 def decode_line(line):
-    """Return the record of a whole line, or None if it cannot be read."""
+    """Return the record of a line, or None if it is incomplete or damaged."""
     if not line.endswith(b"\n"):
         return None
     try:
@@ -83,123 +84,125 @@
 
 
 def read_lines(path):
-    """Yield each line of a file with its end."""
+    """Yield the lines of a file as bytes, with their line ends."""
     with open(path, "rb") as file:
         yield from file
 
 
 class AuditTrail:
-    """Audit records in files of their own, which no truncation touches.
+    """The audit records, kept in files apart from the log and its compaction.
 
-    The trail is made from the log, so it never keeps a replica from starting:
-    what no sync covered is cut, and written anew from the entries after the
-    snapshot. A piece of it may be gone in front of one that is there.
+    The trail is derived from the log, so damage to it never prevents a replica
+    from starting: `open` truncates the part that was not synced, and applying the
+    entries after the snapshot writes it again. A power loss may lose one part of
+    the trail and keep a later one.
 
     `folder`
         The data folder.
     `disk`
         A `hingepitch.disk.Disk`.
-    `keep_bytes`
-        Size beyond which the oldest file is removed: a trail without a bound
-        takes the disk from the log, and then no change is taken at all.
-    `mark`
-        How far the trail is synced.
+    `max_bytes`
+        Size beyond which the oldest file is removed. An unbounded trail could
+        fill the disk, and the replica could then write no change at all.
+    `synced_position`
+        Position up to which the trail is synced.
     `missing_places`
-        Places of the log whose records were found missing since it was opened.
+        Number of log indexes whose records were found missing since `open`.
     """
 
-    def __init__(self, folder, disk=None, keep_bytes=KEEP_BYTES):
+    def __init__(self, folder, disk=None, max_bytes=DEFAULT_MAX_BYTES):
         self.folder = Path(folder)
         self.disk = disk or Disk()
-        self.keep_bytes = keep_bytes
-        self.file_bytes = min(MAX_FILE_BYTES, int(keep_bytes * LARGEST_PART))
+        self.max_bytes = max_bytes
+        self.max_file_bytes = min(MAX_FILE_BYTES, int(max_bytes * MAX_FILE_FRACTION))
         self.file = None
         self.buffer = bytearray()
         self.number = 0
         self.last_index = 0
         self.missing_places = 0
-        self.mark = TrailMark(0, 0, 0)
+        self.synced_position = TrailPosition(0, 0, 0)
 
-    # Opening.
+    def open(self, synced_position=None, snapshot_index=0):
+        """Open the trail for appending; truncate it to the last snapshot.
 
-    def open(self, mark=None, snapshot_index=0):
-        """Cut what was written after the last snapshot, open for appending.
-
-        `mark`
-            Of the snapshot; None if an earlier version wrote that.
+        `synced_position`
+            Position in the snapshot; None if an earlier version wrote the snapshot.
         `snapshot_index`
-            Place of the snapshot in the log.
+            Log index of the snapshot.
         """
-        self.mark = mark or self.find_mark(snapshot_index)
-        self.number = self.mark.number
-        self.last_index = self.mark.index
+        self.synced_position = synced_position or self.find_position(snapshot_index)
+        self.number = self.synced_position.number
+        self.last_index = self.synced_position.index
         self.open_file()
-        self.remove_strays()
-        if self.file.size > self.mark.size:
-            self.cut_to_mark()
-        elif self.file.size < self.mark.size:
-            self.note_lost(self.mark.size - self.file.size)
+        self.remove_stray_files()
+        if self.file.size > self.synced_position.size:
+            self.truncate_to_position()
+        elif self.file.size < self.synced_position.size:
+            self.record_loss(self.synced_position.size - self.file.size)
         self.start_next_if_full()
 
-    def cut_to_mark(self):
-        """Cut what no sync covered."""
-        at = self.mark.size
+    def truncate_to_position(self):
+        """Truncate the last file to the synced position."""
+        at = self.synced_position.size
         name, cut_bytes = self.path.name, self.file.size - at
         log_event("torn_tail_cut", segment=name, at=at, cut_bytes=cut_bytes)
         self.file.truncate(at)
 
-    def note_lost(self, lost_bytes):
-        """Let a record stand for those that were synced and are gone."""
+    def record_loss(self, lost_bytes):
+        """Add a record that stands for synced records that are missing."""
         log_event("audit_incomplete", file=self.path.name, lost_bytes=lost_bytes)
         self.file.truncate(self.path.read_bytes().rfind(b"\n") + 1)
         readable = filter(None, map(decode_line, self.all_lines()))
         self.last_index = max((record.index for record in readable), default=0)
-        self.skip_to(self.mark.index)
+        self.skip_to(self.synced_position.index)
 
-    def find_mark(self, snapshot_index):
-        """Return the mark of a trail that an earlier version wrote.
+    def find_position(self, snapshot_index):
+        """Return the synced position of a trail that an earlier version wrote.
 
-        It synced what the snapshot covers, and perhaps not what came later.
+        Earlier versions synced the records that the snapshot covers; later records
+        may not have been synced.
         """
-        mark = TrailMark(0, 0, 0)
+        synced_position = TrailPosition(0, 0, 0)
         for path in self.paths():
             size = 0
             for line in read_lines(path):
                 size += len(line)
                 record = decode_line(line)
                 if record is not None and record.index <= snapshot_index:
-                    mark = TrailMark(number_of(path), size, record.index)
-        return mark
+                    synced_position = TrailPosition(
+                        file_number(path), size, record.index
+                    )
+        return synced_position
 
     def paths(self):
-        """Return the files, oldest first."""
+        """Return the paths of the files, oldest first."""
         return sorted(self.folder.glob(FILE_GLOB))
 
     @property
     def path(self):
-        """The path of the file that is written."""
+        """The path of the file that is being written."""
         return self.folder / f"audit-{self.number:06}.jsonl"
 
-    def remove_strays(self):
-        """Remove files that are no part of the trail.
+    def remove_stray_files(self):
+        """Remove files that do not belong to the trail.
 
-        Those begun after the last snapshot, and those in front of a missing
-        one: they were removed, and a loss of power brought their names back.
+        These are files begun after the last snapshot, and files before a gap in
+        the numbers: they had been removed, and a power loss restored their names.
         """
         expected = self.number
         for path in reversed(self.paths()):
-            if number_of(path) == expected:
+            if file_number(path) == expected:
                 expected -= 1
             else:
                 self.disk.remove(path)
 
     def open_file(self):
-        """Open the last file."""
+        """Open the file `number` for appending."""
         self.file = self.disk.open(self.path)
 
     def start_next_if_full(self):
-        """Go on in a new file when this one is full."""
-        if self.file.size > self.file_bytes:
+        """Start a new file if the current one is full."""
+        if self.file.size > self.max_file_bytes:
             full = self.file
             self.number += 1
             self.open_file()
@@ -207,9 +210,9 @@
             self.remove_oldest()
 
     def remove_oldest(self):
-        """Remove the oldest files until the rest is small enough."""
+        """Remove the oldest files until the rest and a new file fit `max_bytes`."""
         size_by_path = {path: path.stat().st_size for path in self.paths()}
-        excess = sum(size_by_path.values()) + self.file_bytes - self.keep_bytes
+        excess = sum(size_by_path.values()) + self.max_file_bytes - self.max_bytes
         for path, size in size_by_path.items():
             if excess <= 0:
                 return
@@ -217,10 +220,8 @@
             self.disk.remove(path)
             excess -= size
 
-    # Writing.
-
     def add(self, record):
-        """Add a record, unless it was written before a restart."""
+        """Add a record, unless the trail already holds its log index."""
         if record.index <= self.last_index:
             return
         self.last_index = record.index
@@ -229,34 +230,34 @@
             self.flush()
 
     def skip_to(self, index):
-        """Note that the records up to `index` are not known here.
+        """Add a record that stands for the missing records up to `index`.
 
-        The state came from another replica, without the changes before it.
+        A snapshot installed from another replica holds no audit records.
         """
         if index > self.last_index:
             self.missing_places += index - self.last_index
-            self.add(missing_records(self.last_index, index))
+            self.add(make_missing_record(self.last_index, index))
 
     def flush(self):
-        """Write what is in the buffer, without a sync."""
+        """Write the buffer to the file, without a sync."""
         data, self.buffer = bytes(self.buffer), bytearray()
         self.file.write_all(data)
 
     def sync(self):
-        """Make the records durable; return how far they go, a `TrailMark`."""
+        """Make all records durable; return the `TrailPosition` of their end."""
         self.flush()
         run_off_loop(self.file.sync)
         self.start_next_if_full()
-        self.mark = TrailMark(self.number, self.file.size, self.last_index)
-        return self.mark
-
-    # Reading.
+        self.synced_position = TrailPosition(
+            self.number, self.file.size, self.last_index
+        )
+        return self.synced_position
 
     def read(self, partner="", operator="", name="", since_seconds=0):
-        """Yield the records that match, oldest first.
+        """Yield the matching records, oldest first.
 
-        An empty value matches every record. Where records are missing, one
-        stands for them, whatever is asked for.
+        An empty value matches every record. Records that stand for missing ones
+        match every query.
         """
         for record in self.read_all():
             is_missing = record.missing_after >= 0
@@ -269,31 +270,29 @@
                 yield record
 
     def read_all(self):
-        """Yield all records, one in place of those that cannot be read."""
+        """Yield all records; one record stands for each range that cannot be read."""
         last = 0
         paths = self.paths()
-        is_broken = bool(paths) and number_of(paths[0]) > 0
+        is_broken = bool(paths) and file_number(paths[0]) > 0
         for record in map(decode_line, self.all_lines()):
             if record is None:
                 is_broken = True
                 continue
             if is_broken:
-                yield missing_records(last, record.index - 1)
+                yield make_missing_record(last, record.index - 1)
             yield record
             last, is_broken = record.index, False
         if is_broken:
-            yield missing_records(last, self.last_index)
+            yield make_missing_record(last, self.last_index)
 
     def all_lines(self):
-        """Yield the lines of all files, and those not written yet."""
+        """Yield the lines of all files and of the buffer."""
         for path in self.paths():
             yield from read_lines(path)
         yield from bytes(self.buffer).splitlines(keepends=True)
 
-    # End.
-
     def close(self):
-        """Close the file."""
+        """Write the buffer and close the file."""
         if self.file is None:
             return
         try:
@@ -303,10 +302,10 @@
             file.close()
 
     def anew(self):
-        """Return a trail of the same folder that is not open yet."""
-        return AuditTrail(self.folder, self.disk, self.keep_bytes)
+        """Return an `AuditTrail` of the same folder that is not open yet."""
+        return AuditTrail(self.folder, self.disk, self.max_bytes)
 
 
-def number_of(path):
-    """Return the number in the name of a file of the trail."""
+def file_number(path):
+    """Return the number in the name of an audit file."""
     return int(path.stem.removeprefix("audit-"))
--- a/hingepitch/control/batch.py
+++ b/hingepitch/control/batch.py
@@ -2,7 +2,7 @@
 hingepitch.control.batch
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-The records of a log segment: one for each synced write.
+The record format of log segments: one record for each synced write.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -19,17 +19,17 @@
 
 __all__ = ["Batch", "encode_batch", "frame", "read_batches", "read_frame"]
 
-#: Before each record: magic, length of the body, checksum, type.
+#: Header of a record: magic number, length of the body, checksum, type.
 HEADER = struct.Struct("<IIIB")
 MAGIC = 0x48504C31
 MAGIC_BYTES = struct.pack("<I", MAGIC)
 
-#: Largest record, in bytes: a length beyond it is damage. Source: four of the
-#: largest messages between replicas.
+#: Largest record, in bytes: a larger length is damage. Four times the largest
+#: message between replicas.
 MAX_RECORD_BYTES = 256_000_000
 
-#: Types of records. An entry and a vote of their own were written by earlier
-#: versions, which are still read.
+#: Types of records. Earlier versions wrote entries and votes as records of their
+#: own, which are still read.
 ENTRY_RECORD = 1
 VOTE_RECORD = 2
 BATCH_RECORD = 3
@@ -44,12 +44,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """What one synced write holds.
+    """The content of one synced write.
 
     `sequence`
-        Counts the writes of a data folder; 0 where it is not known. A write
-        begins only when the one before it is synced, so a whole batch shows
-        that all lower ones were.
+        Number of the write in its data folder; 0 if it is not known. A write
+        starts only after the previous one is synced, so a complete batch proves
+        that all batches with lower numbers were synced.
     `vote`
         Term and vote, or None.
     """
@@ -60,20 +60,20 @@
 
 
 def frame(record_type, body):
-    """Return the bytes of a record."""
+    """Return the bytes of a record: header and `body`."""
     checksum = zlib.crc32(body, record_type)
     return HEADER.pack(MAGIC, len(body), checksum, record_type) + body
 
 
 def read_frame(data, offset=0):
-    """Return `(type, body, end)` of the record at `offset`, or None."""
+    """Return `(type, body, end)` of the record at `offset`, or None if damaged."""
     if offset + HEADER.size > len(data):
         return None
     magic, length, checksum, record_type = HEADER.unpack_from(data, offset)
     start = offset + HEADER.size
     end = start + length
-    # No record is empty: the checksum of nothing is the type, so a torn header,
-    # zeros behind the magic, would hold.
+    # An empty record is damage: the checksum of an empty body is the type, so a
+    # torn header with zeros after the magic number would pass as a record.
     if magic != MAGIC or not 0 < length <= MAX_RECORD_BYTES or end > len(data):
         return None
     body = data[start:end]
@@ -85,8 +85,8 @@
 def encode_batch(batch):
     """Return the record of a `Batch`.
 
-    One checksum covers all of it: a write that came apart in its middle is
-    told as a whole from one that is there.
+    One checksum covers the whole batch, so a write that is torn anywhere is
+    recognized as incomplete.
     """
     rows = [
         (entry.index, entry.term, int(entry.kind), entry.payload)
@@ -97,9 +97,10 @@
 
 
 def decode_batch(record_type, body):
-    """Return the `Batch` of a record whose checksum holds.
+    """Return the `Batch` of a record with a correct checksum.
 
-    Raises `storage_unknown`: another version wrote it.
+    Raises `storage_unknown` if the record cannot be decoded: another version
+    wrote it.
     """
     try:
         if record_type == BATCH_RECORD:
@@ -110,24 +111,27 @@
         if record_type == ENTRY_RECORD:
             return Batch(0, None, (make_entry(ENTRY_DECODER.decode(body)),))
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise HingepitchError("storage_unknown", f"not a batch: {error}") from None
-    raise HingepitchError("storage_unknown", f"no record of type {record_type}")
+        raise HingepitchError(
+            "storage_unknown", f"cannot decode a batch: {error}"
+        ) from None
+    raise HingepitchError("storage_unknown", f"unknown record type {record_type}")
 
 
 def make_entry(row):
-    """Return the `Entry` of a row."""
+    """Return the `Entry` of a decoded row."""
     index, term, kind, payload = row
     return Entry(index, term, EntryKind(kind), payload)
 
 
 def read_batches(data, sequence):
-    """Yield `(batch, end)` of the whole records from the start of `data`.
+    """Yield `(batch, end)` for each complete record from the start of `data`.
 
-    Ends in front of a tail that no sync covered. Raises `storage_damaged`
-    where what a sync covered cannot be read, and `storage_unknown`.
+    Stops before a torn tail that was not synced. Raises `storage_damaged` if data
+    that was synced cannot be read, and `storage_unknown` if another version wrote
+    a record.
 
     `sequence`
-        Of the last batch before `data`.
+        Number of the last batch before `data`.
     """
     offset = 0
     while offset < len(data):
@@ -142,25 +146,28 @@
 
 
 def check_tail(data, offset, sequence):
-    """Raise `storage_damaged` if a batch after `offset` was written later.
+    """Raise `storage_damaged` if the damaged record at `offset` had been synced.
 
-    The damaged one would be `sequence` + 1, or the rest of a write that failed
-    and was cut. One with a higher number shows that it had been synced. Where no
-    batch was read, it may be a record of an earlier version, before the first.
+    Its number would be `sequence` + 1, unless it is the rest of a failed write
+    that was truncated. A complete batch behind it with a higher number proves that
+    it had been synced. If no batch was read yet, it may be a record of an earlier
+    version, before the first batch.
     """
     expected = sequence + 1 if sequence else 0
     position = data.find(MAGIC_BYTES, offset + 1)
     while position >= 0:
         record = read_frame(data, position)
         if record is not None and is_later(record, expected):
-            raise HingepitchError("storage_damaged", f"damaged at byte {offset}")
+            raise HingepitchError(
+                "storage_damaged", f"segment is damaged at byte {offset}"
+            )
         position = data.find(MAGIC_BYTES, position + 1)
 
 
 def is_later(record, sequence):
-    """Whether a whole record was written after the batch `sequence`.
+    """Whether a complete record was written after the batch `sequence`.
 
-    Records of earlier versions do not tell; they count as later.
+    Records of earlier versions have no number; they count as later.
     """
     record_type, body, _ = record
     if record_type != BATCH_RECORD:
--- a/hingepitch/control/memlog.py
+++ b/hingepitch/control/memlog.py
@@ -2,7 +2,7 @@
 hingepitch.control.memlog
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-The part of the log after the last snapshot, in memory.
+The in-memory part of the log: the entries after the last snapshot.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -12,10 +12,10 @@
 
 
 class MemoryLog:
-    """Entries after `start_index`, which a snapshot covers.
+    """The entries after `start_index`; a snapshot covers the entries up to it.
 
     `start_index`, `start_term`
-        Index and term of the last entry that is no more held.
+        Index and term of the last entry that was compacted.
     """
 
     def __init__(self, start_index=0, start_term=0, entries=()):
@@ -34,7 +34,7 @@
         return self.entries[-1].term if self.entries else self.start_term
 
     def term_at(self, index):
-        """Return the term at `index`, or None where it is not known."""
+        """Return the term of the entry at `index`, or None if it is not held."""
         if index == self.start_index:
             return self.start_term
         if self.start_index < index <= self.last_index:
@@ -47,13 +47,13 @@
         return self.entries[first : first + limit]
 
     def append(self, entries):
-        """Add `entries`, dropping whatever stands from the first one on."""
+        """Append `entries`, replacing all entries from the first one's index on."""
         keep = entries[0].index - self.start_index - 1
         del self.entries[keep:]
         self.entries.extend(entries)
 
     def compact(self, index):
-        """Forget the entries up to `index`."""
+        """Remove the entries up to `index`."""
         if index <= self.start_index:
             return
         term = self.term_at(index)
@@ -62,7 +62,7 @@
         self.start_term = term
 
     def reset(self, index, term):
-        """Start anew after a snapshot at `index`."""
+        """Remove all entries; start after a snapshot at `index`."""
         self.entries.clear()
         self.start_index = index
         self.start_term = term
--- a/hingepitch/control/operator.py
+++ b/hingepitch/control/operator.py
@@ -27,21 +27,22 @@
 __all__ = ["Authenticator", "CommandForm", "OperatorApi"]
 
 MAX_BODY_BYTES = 1_000_000
-#: Below the time-out of the operators' client.
-LONGEST_WAIT_SECONDS = 4.0
+#: Longest long poll; below the timeout of the operators' client.
+MAX_WAIT_SECONDS = 4.0
 PROPOSE_SECONDS = 4.0
 AUDIT_ROWS = 1000
 
 
 class CommandForm(Settings):
-    """A command as an operator hands it in.
+    """The request body of a command.
 
     `id`
-        The same id names the same command, however often it is sent.
+        Idempotency key: a command sent again with the same id takes effect once.
     `put`, `delete`, `cancel`
-        One of them: an object with its kind; kind and name; names of jobs.
+        Exactly one of them: an object with its kind; kind and name of an object;
+        names of jobs.
     `base_version`
-        Version of the object that the operator saw; -1: any.
+        Version of the object on which the change is based; -1 for any version.
     """
 
     id: Name
@@ -51,12 +52,14 @@
     base_version: int = -1
 
     def to_command(self):
-        """Return the command; raise `bad_object`."""
+        """Return the command; raise `bad_object` if the form is not valid."""
         given = [
             value for value in (self.put, self.delete, self.cancel) if value is not None
         ]
         if len(given) != 1:
-            raise HingepitchError("bad_object", "expected put, delete or cancel")
+            raise HingepitchError(
+                "bad_object", "expected exactly one of put, delete and cancel"
+            )
         if self.put is not None:
             return parse_object(self.put)
         if self.delete is not None:
@@ -65,7 +68,7 @@
 
 
 class Authenticator:
-    """Knows the operators by their tokens.
+    """Authenticates operators by their bearer tokens.
 
     `operators`
         The `OperatorSettings`.
@@ -75,7 +78,7 @@
         self.operators = list(operators)
 
     def operator(self, req):
-        """Return who sends `req`; raise `unauthenticated`."""
+        """Return the `OperatorSettings` of the sender; raise `unauthenticated`."""
         scheme, _, token = (req.get_header("Authorization") or "").partition(" ")
         digest = hash_token(token)
         found = None
@@ -88,7 +91,7 @@
 
 
 def parse_json(req, model):
-    """Return the body of `req` as `model`; raise `bad_request`."""
+    """Return the body of `req` as `model`; raise `bad_request` or `body_too_large`."""
     if (req.content_length or 0) > MAX_BODY_BYTES:
         raise HingepitchError("body_too_large")
     try:
@@ -102,14 +105,14 @@
 
 
 class OperatorApi:
-    """Resources under `/v1`.
+    """The falcon resources under `/v1`.
 
     `replica`, `roster`
-        The parts that the answers are about.
+        The `Replica` and the `Roster` of this process.
     `group`
-        A `GroupClient`, to pass commands to the leader.
+        A `GroupClient`, which passes commands to the leader.
     `authenticator`
-        Knows the operators.
+        An `Authenticator`.
     `members`
         A `hingepitch.control.member.MemberChanger`.
     """
@@ -135,7 +138,7 @@
         return api
 
     def confirm_state(self):
-        """Return the state once it is as new as the leader's."""
+        """Return the state after a confirmed read, at least as new as the leader's."""
         try:
             self.replica.confirm()
         except HingepitchError as error:
@@ -146,7 +149,7 @@
         return self.replica.state
 
     def on_post_commands(self, req, resp):
-        """Take a command; answer its outcome."""
+        """Propose a command; respond with the new version."""
         operator = self.authenticator.operator(req)
         form = parse_json(req, CommandForm)
         envelope = Envelope(
@@ -163,15 +166,15 @@
         resp.media = {"version": outcome.version}
 
     def on_get_objects(self, req, resp, kind):
-        """Answer all objects of a kind."""
+        """Respond with all objects of a kind."""
         self.authenticator.operator(req)
         if kind not in RECORD_BY_KIND:
-            raise HingepitchError("unknown_object", f"no kind {kind}")
+            raise HingepitchError("unknown_object", f"unknown kind {kind}")
         state = self.confirm_state()
         resp.media = [plain_record(record) for record in state.by_kind[kind].values()]
 
     def on_get_object(self, req, resp, kind, name):
-        """Answer one object."""
+        """Respond with one object."""
         self.authenticator.operator(req)
         record = self.confirm_state().by_kind.get(kind, {}).get(name)
         if record is None:
@@ -179,7 +182,7 @@
         resp.media = plain_record(record)
 
     def on_get_explain(self, req, resp, kind, name):
-        """Answer why a job waits or a VM may not leave."""
+        """Respond with the reasons why a job waits or a VM may not leave."""
         self.authenticator.operator(req)
         state = self.confirm_state()
         if kind == QUEUED_JOB:
@@ -188,7 +191,7 @@
             resp.media = explain.explain(state, kind, name)
 
     def on_get_audit(self, req, resp):
-        """Answer the audit records that match the query."""
+        """Respond with the last `AUDIT_ROWS` audit records that match the query."""
         self.authenticator.operator(req)
         records = self.replica.audit.read(
             req.get_param("partner", default=""),
@@ -199,11 +202,11 @@
         resp.media = [to_plain(record) for record in records][-AUDIT_ROWS:]
 
     def on_get_watch(self, req, resp):
-        """Answer what changed after a version; waits a while for news."""
+        """Respond with the changes after a version (long poll)."""
         self.authenticator.operator(req)
         self.replica.check_read()
         after = req.get_param_as_int("after", default=0)
-        deadline = lease_seconds() + LONGEST_WAIT_SECONDS
+        deadline = lease_seconds() + MAX_WAIT_SECONDS
         state = self.replica.state
         while state.feed_by_name["planning"].version <= after:
             if not self.replica.wait_change(deadline - lease_seconds()):
@@ -220,15 +223,15 @@
         }
 
     def on_get_in_force(self, req, resp, version):
-        """Answer whether a version is in force at every entry."""
+        """Respond with whether a version is in force at every entry."""
         self.authenticator.operator(req)
         wait_ms = req.get_param_as_int("wait_ms", min_value=0, default=0)
-        wait_ms = min(wait_ms, int(LONGEST_WAIT_SECONDS * 1000))
+        wait_ms = min(wait_ms, int(MAX_WAIT_SECONDS * 1000))
         in_force = self.group.call("is_in_force", version, wait_ms)
         resp.media = {"version": version, "in_force": in_force}
 
     def on_get_members(self, req, resp):
-        """Answer the members of the group and how many losses it stands."""
+        """Respond with the members of the group and its fault tolerance."""
         self.authenticator.operator(req)
         resp.media = self.members.status()
 
@@ -239,7 +242,7 @@
 
 
 def plain_record(record):
-    """Return a record as plain values; bodies are not shown."""
+    """Return a record as plain values, without the content of its body."""
     plain = to_plain(record)
     if plain is not None and "body" in plain:
         plain["body"] = None
--- a/hingepitch/control/program.py
+++ b/hingepitch/control/program.py
@@ -39,22 +39,22 @@
 TRANSFER_SECONDS = 2.0
 MEGABYTE = 1_000_000
 
-#: Longest wait for an answer while the group is kept complete.
-KEEPER_CALL_SECONDS = 0.8
+#: Timeout of the calls that reconcile the group's membership.
+RECONCILER_CALL_SECONDS = 0.8
 
 
 class Control(Application):
-    """One replica of the control group, with all its parts."""
+    """The process of one replica of the control group."""
 
     program = "control"
     disk_class = Disk
 
     def setup(self):
-        """Wire the parts."""
+        """Create and connect the components."""
         settings = self.settings
         self.disk = self.disk_class()
         self.metrics = self.make_metrics()
-        self.metrics.probes.append(self.measure_folder)
+        self.metrics.probes.append(self.update_folder_metrics)
         self.roster = Roster(settings.lease_seconds)
         self.replica = Replica(
             Storage(settings.data_folder, settings.name, self.disk),
@@ -78,7 +78,7 @@
         self.keeper = GroupKeeper(
             self.replica,
             self.book,
-            self.make_group(KEEPER_CALL_SECONDS),
+            self.make_group(RECONCILER_CALL_SECONDS),
             Member("", settings.name, settings.rpc_address, settings.hall, False),
             settings.voters,
         )
@@ -92,7 +92,7 @@
         self.http = HttpServer(settings.http_address, api)
 
     def make_group(self, seconds):
-        """Return a client of the group whose calls end after `seconds`."""
+        """Return a client of the group whose calls time out after `seconds`."""
         settings = self.settings
         return GroupClient(
             self.book.addresses(), settings.name, settings.shared_key, seconds
@@ -100,8 +100,8 @@
 
     def make_api(self):
         """Return the falcon application of this replica."""
-        # Loaded only here: the operators' forms take 0.1 s to build, and a
-        # subclass with an API of its own starts so much sooner without them.
+        # Imported only here: building the operators' forms takes 0.1 s, which a
+        # subclass with another API saves at its start.
         from hingepitch.control.operator import Authenticator, OperatorApi
 
         return OperatorApi(
@@ -113,10 +113,10 @@
         ).make()
 
     def start(self):
-        """Start the servers, recover the state, and start the children.
+        """Start the servers, recover the state, and start the child greenlets.
 
-        The servers come first: who asks a control that waits for its data folder
-        is told so, and goes on to another one.
+        The servers start first, so that a replica that still waits for its data
+        folder refuses calls and its clients go on to another replica.
         """
         self.listen("rpc", self.rpc)
         self.listen("http", self.http)
@@ -129,12 +129,12 @@
         self.supervisor.start("keeper", self.keeper.run)
 
     def keep_book(self):
-        """Keep the addresses of the replicas, if they may change by themselves."""
+        """Keep the replicas' addresses up to date if members change automatically."""
         if self.settings.voters:
             self.book.keep_fresh(self.keeper.group, self.group)
 
     def drain(self):
-        """Hand the leadership to another replica."""
+        """Transfer the leadership to another replica."""
         if self.replica.is_leader:
             self.replica.transfer()
             wait_until(lambda: not self.replica.is_leader, TRANSFER_SECONDS)
@@ -158,8 +158,8 @@
                 return peer.address
         return self.book.address_of(identity)
 
-    def measure_folder(self):
-        """Set the figures of the data folder."""
+    def update_folder_metrics(self):
+        """Set the metrics of the data folder and the audit trail."""
         replica = self.replica
         self.metrics.set(
             "storage_failed",
@@ -173,17 +173,17 @@
         )
         self.metrics.set(
             "log_set_aside",
-            "1 while files of a log that could not be read are kept.",
+            "1 while the data folder holds files of a quarantined log.",
             int(bool(replica.storage.kept_aside)),
         )
         self.metrics.set(
             "audit_places_missing",
-            "Places of the log whose audit records were found missing since the start.",
+            "Log indexes whose audit records were found missing since the start.",
             replica.audit.missing_places,
         )
 
     def is_healthy(self):
-        """Whether this replica knows a leader, can write, and reads the log."""
+        """Whether this replica knows a leader and can write and read its log."""
         replica = self.replica
         return bool(replica.core.leader) and not replica.storage_fault + replica.unread
 
@@ -217,8 +217,8 @@
         }
 
 
-def found(settings_path):
-    """Make the data folder of a founding member; return the exit code."""
+def init_data_folder(settings_path):
+    """Create the data folder of a founding member; return the exit code."""
     try:
         settings = load_settings(ControlSettings, settings_path)
         members = tuple(
@@ -230,7 +230,7 @@
         print(error)
         bad = error.code == "bad_settings"
         return ExitCode.BAD_SETTINGS if bad else ExitCode.FAILED
-    print(f"{settings.data_folder}: founded as {settings.name}")
+    print(f"{settings.data_folder}: created for {settings.name}")
     return ExitCode.FINE
 
 
@@ -238,12 +238,12 @@
     """Run one replica of the control group.
 
     :param settings: the settings file (YAML)
-    :param check: only say whether the settings are valid
-    :param init: make the data folder of a founding member, then exit; only
-        on the first day of the group, never to replace a lost disk
+    :param check: only check the settings, then exit
+    :param init: create the data folder of a founding member, then exit; only
+        to bootstrap a new group, never to replace a lost disk
     """
     if init:
-        return found(settings)
+        return init_data_folder(settings)
     return run_daemon(Control, ControlSettings, settings, check)
 
 
--- a/hingepitch/control/roster.py
+++ b/hingepitch/control/roster.py
@@ -2,8 +2,8 @@
 hingepitch.control.roster
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-The entries as the leader knows them: leases, versions, what is in
-flight.
+The leader's in-memory status of the entries: leases, versions and requests
+in flight.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -15,13 +15,13 @@
 
 __all__ = ["EntryStatus", "Roster"]
 
-#: Allowance for clocks that run at different speeds.
-DRIFT = 1.05
+#: Factor on leases that allows for clocks running at different speeds.
+CLOCK_DRIFT_FACTOR = 1.05
 
 
 @dataclass(slots=True)
 class EntryStatus:
-    """What an entry last said, and until when its lease may run."""
+    """The last report of an entry, and the latest end of its lease."""
 
     confirmed_version: int = 0
     lease_until: float = 0.0
@@ -29,32 +29,32 @@
 
 
 class Roster:
-    """Leases of entries, held by the leader in memory.
+    """Leases of the entries, held in the leader's memory.
 
     `lease_seconds`
-        How long an entry takes work after it last heard the group.
+        How long an entry accepts requests after its last contact with the group.
 
-    A new leader does not know what its predecessor granted, so it treats
-    every entry as if a lease had been granted when it took over.
+    A new leader does not know which leases its predecessor granted, so it treats
+    every entry as if it got a lease when this leadership began.
     """
 
     def __init__(self, lease_seconds):
         self.lease_seconds = lease_seconds
         self.status_by_entry = {}
         self.took_over_at = 0.0
-        self.heard = Event()
+        self.report_received = Event()
 
     def take_over(self, now):
-        """Forget everything; this replica now leads."""
+        """Drop all status at the start of a leadership of this replica."""
         self.status_by_entry = {}
         self.took_over_at = now
 
     def lease_end(self, now):
-        """Return when a lease granted at `now` has surely ended."""
-        return now + self.lease_seconds * DRIFT
+        """Return when a lease granted at `now` is confirmed expired."""
+        return now + self.lease_seconds * CLOCK_DRIFT_FACTOR
 
     def status_of(self, entry):
-        """Return the status of an entry."""
+        """Return the `EntryStatus` of an entry; create it if necessary."""
         status = self.status_by_entry.get(entry)
         if status is None:
             status = EntryStatus(lease_until=self.lease_end(self.took_over_at))
@@ -62,24 +62,24 @@
         return status
 
     def note(self, entry, confirmed_version, in_flight_by_vm):
-        """Note what an entry says of itself."""
+        """Record the version and the requests in flight that an entry reports."""
         status = self.status_of(entry)
         status.confirmed_version = confirmed_version
         status.in_flight_by_vm = dict(in_flight_by_vm)
-        self.heard.set()
-        self.heard = Event()
+        self.report_received.set()
+        self.report_received = Event()
 
     def grant(self, entry, now):
-        """Note that the lease of an entry is renewed at `now`."""
+        """Renew the lease of an entry at `now`."""
         status = self.status_of(entry)
         status.lease_until = max(status.lease_until, self.lease_end(now))
 
     def has_lease(self, entry, now):
-        """Whether the lease of an entry may still run."""
+        """Whether the lease of an entry may not have expired yet."""
         return now < self.status_of(entry).lease_until
 
     def is_in_force(self, entries, version, now):
-        """Whether no entry takes work by a state older than `version`."""
+        """Whether no entry accepts requests by a state older than `version`."""
         return all(
             self.status_of(entry).confirmed_version >= version
             or not self.has_lease(entry, now)
@@ -87,9 +87,9 @@
         )
 
     def is_drained(self, entries, vm, version, now, longest_request_seconds):
-        """Whether no entry sends `vm` anything or waits for its answer.
+        """Whether no entry sends requests to `vm` or has some in flight.
 
-        `version` is the one at which the VM began to leave.
+        `version` is the state version at which the VM began to leave.
         """
         for entry in entries:
             status = self.status_of(entry)
--- a/hingepitch/control/settings.py
+++ b/hingepitch/control/settings.py
@@ -18,7 +18,7 @@
 
 
 class OperatorSettings(Settings):
-    """An operator: the token lies here only as its SHA-256."""
+    """An operator; the settings hold only the SHA-256 of the token."""
 
     name: Name
     partner: Name
@@ -29,24 +29,24 @@
     """Settings of `hingepitch-control`.
 
     `rpc_address`
-        Where this replica takes the calls of other processes.
+        Address at which this replica accepts calls of other processes.
     `data_folder`
-        Folder for everything that must survive.
+        Folder of all persistent data.
     `peers`
-        The founding members, this one included.
+        The founding members, including this replica.
     `operators`
-        Who may read and change what.
+        The operators who may use the HTTP API.
     `lease_seconds`
-        Lease of an entry. Default: 3.
+        Duration of an entry's lease. Default: 3.
     `voters`
-        Voters that the group keeps up by itself: newcomers join, and those
-        that have caught up replace the ones that are gone. 0: members change
-        only by an operator's hand. Default: 0.
+        Number of voters that the group maintains automatically: new replicas
+        join as learners, and those that have caught up replace lost voters.
+        0: only operators change the members. Default: 0.
     `audit_megabytes`
         Size of the audit trail beyond which its oldest part is removed.
         Default: 1000.
     `seed`
-        Seed of the election timeouts. Default: 0.
+        Seed of the random election timeouts. Default: 0.
     """
 
     rpc_address: Address
--- a/hingepitch/control/snapshot.py
+++ b/hingepitch/control/snapshot.py
@@ -2,7 +2,7 @@
 hingepitch.control.snapshot
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-The state of a replica at one place of its log, as it lies on the disk.
+The snapshot of a replica's state at one log index, and its file format.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -14,16 +14,16 @@
 from hingepitch.control.message import Member
 from hingepitch.error import HingepitchError
 
-__all__ = ["Snapshot", "TrailMark", "decode_snapshot", "encode_snapshot"]
+__all__ = ["Snapshot", "TrailPosition", "decode_snapshot", "encode_snapshot"]
 
 
-class TrailMark(msgspec.Struct, frozen=True):
-    """How far the audit trail was synced when a snapshot was written.
+class TrailPosition(msgspec.Struct, frozen=True):
+    """Position up to which the audit trail is synced.
 
     `number`, `size`
-        Of its last file, and how many bytes of that.
+        Number of its last file, and synced bytes of this file.
     `index`
-        Place in the log of its last record.
+        Log index of its last record.
     """
 
     number: int
@@ -32,15 +32,16 @@
 
 
 class Snapshot(msgspec.Struct):
-    """The state after the entry `index`, with the members at that point.
+    """The state after applying the entry `index`, with the members at that index.
 
     `first_segment`
-        Segments below this number are void: what they hold is in the snapshot,
-        or was never committed.
+        Segments with lower numbers are void: their entries are in the snapshot
+        or were never committed.
     `vote`
         Term and vote when the snapshot was written.
     `trail`
-        How far the audit trail goes; None from earlier versions.
+        Position up to which the audit trail was synced; None in snapshots of
+        earlier versions.
     """
 
     index: int
@@ -49,7 +50,7 @@
     state: bytes
     first_segment: int = 0
     vote: tuple[int, str] = (0, "")
-    trail: TrailMark | None = None
+    trail: TrailPosition | None = None
 
 
 SNAPSHOT_DECODER = msgspec.msgpack.Decoder(Snapshot)
@@ -63,8 +64,8 @@
 def decode_snapshot(data):
     """Return the `Snapshot` of `data`.
 
-    Earlier versions wrote it without a checksum. Raises `storage_damaged`, or
-    `storage_unknown` where the checksum holds: another version wrote it.
+    Earlier versions wrote snapshots without a checksum. Raises `storage_damaged`,
+    or `storage_unknown` if the checksum is correct: another version wrote it.
     """
     record = read_frame(data)
     is_whole = record is not None and record[0] == SNAPSHOT_RECORD
@@ -72,4 +73,4 @@
         return SNAPSHOT_DECODER.decode(record[1] if is_whole else data)
     except (msgspec.MsgspecError, RecursionError) as error:
         code = "storage_unknown" if is_whole else "storage_damaged"
-        raise HingepitchError(code, f"not a snapshot: {error}") from None
+        raise HingepitchError(code, f"cannot decode the snapshot: {error}") from None
--- a/hingepitch/control/storage.py
+++ b/hingepitch/control/storage.py
@@ -30,33 +30,33 @@
 LOCK_NAME = "lock"
 IDENTITY_NAME = "identity"
 
-#: Parts the name from the random part in the identity of a replica that came with
-#: an empty folder; a founder's has none.
+#: Separates name and random part in the identity of a replica that started with an
+#: empty folder. The identity of a founding member has no random part.
 NEWCOMER_MARK = "~"
 
-#: Begins the names of a log that could not be read, kept for the operator.
-ASIDE_PREFIX = "set-aside-"
+#: Prefix of quarantined files: a log that could not be read, kept for the operator.
+QUARANTINE_PREFIX = "set-aside-"
 
-#: Begin the names of whole files that are being written.
-LEFTOVER_PREFIXES = (".identity", ".snapshot-")
+#: Prefixes of the temporary files of `write_whole`.
+PARTIAL_FILE_PREFIXES = (".identity", ".snapshot-")
 
-#: Files that are set aside with a log; all others say nothing of its past.
-LOG_NAME = re.compile(
+#: Files that are quarantined with a log; other files hold none of its content.
+LOG_FILE_NAME = re.compile(
     r"identity|segment-\d{12}|snapshot-\d{20}|audit-\d{6,}\.jsonl", re.ASCII
 )
 
 
 def found_folder(folder, identity, members, disk=None):
-    """Make the data folder of a founding member, once and never again.
+    """Create the data folder of a founding member of the group.
 
-    Raises `HingepitchError` (`storage_failed`) if the folder is in use, or if
-    a log was set aside in it: a group is not founded twice.
+    Raises `HingepitchError` (`storage_failed`) if the folder already has an
+    identity or quarantined files: a group must not be bootstrapped twice.
     """
     disk = disk or Disk()
     folder = Path(folder)
     folder.mkdir(parents=True, exist_ok=True)
     for name in os.listdir(folder):
-        if name == IDENTITY_NAME or name.startswith(ASIDE_PREFIX):
+        if name == IDENTITY_NAME or name.startswith(QUARANTINE_PREFIX):
             raise HingepitchError("storage_failed", f"{folder} has an identity already")
     first = Snapshot(0, 0, members, b"")
     write_whole(disk, folder / f"snapshot-{0:020}", encode_snapshot(first))
@@ -64,25 +64,25 @@
 
 
 class Storage:
-    """One data folder, used by one process at a time.
+    """The data folder of a replica, used by one process at a time.
 
-    A loss of power keeps what a sync covered; of what was written since, each
-    write and each change of a name may be there, torn or gone, whatever became
-    of those before. So a write is one batch under one checksum and begins when
-    the one before is synced, a snapshot names the first segment that it needs,
-    and nothing that was read is believed before it is synced again.
+    A power loss keeps everything that a sync covered. Each later write or rename
+    may be complete, torn or missing, independently of the ones before it. So each
+    write is one batch with one checksum and starts only after the previous batch
+    is synced, a snapshot names the first segment that it needs, and data read at
+    startup is synced again before the replica relies on it.
 
     `folder`
-        Path of the folder; made if it does not exist.
+        Path of the folder; created if it does not exist.
     `name`
-        Name of the replica; an empty folder gets the new identity
-        `name~random`, which no group knows yet.
+        Name of the replica. An empty folder gets the new identity `name~random`,
+        which is not a member of any group yet.
     `disk`
         A `hingepitch.disk.Disk`.
     `set_aside_reason`
-        Why the log was set aside at this opening; empty if it was not.
+        Why this call of `open` quarantined the log; empty if it did not.
     `kept_aside`
-        Why there are files of a log that was set aside; empty if there are none.
+        Why the folder holds quarantined files; empty if it holds none.
     """
 
     def __init__(self, folder, name, disk=None):
@@ -94,10 +94,10 @@
         self.bytes_written = 0
         self.set_aside_reason = ""
         self.kept_aside = ""
-        self.forget()
+        self.reset_fields()
 
-    def forget(self):
-        """Know nothing of what the folder holds."""
+    def reset_fields(self):
+        """Reset all fields that are read from the folder."""
         self.segment_number = 0
         self.segment_size = 0
         self.sequence = 0
@@ -105,28 +105,26 @@
         self.snapshot = Snapshot(0, 0, (), b"")
         self.snapshot_bytes = 0
 
-    # Opening.
-
     def open(self):
-        """Lock the folder and return what it holds as `Recovered`.
+        """Lock the folder and return its content as `Recovered`.
 
-        A log that cannot be read is set aside: the replica comes back as one
-        that has lost its disk, under a new identity, and is taken in again. It
-        never votes with a past that it cannot read.
+        A damaged log is quarantined. The replica then starts like one that lost
+        its disk: it gets a new identity and joins the group again, so that it
+        never votes without knowing its earlier votes and entries.
 
         Raises `HingepitchError` (`folder_locked`, `storage_unknown`) or `OSError`.
         """
         self.folder.mkdir(parents=True, exist_ok=True)
         self.take_lock()
-        self.remove_leftovers()
-        self.kept_aside = "at an earlier start" if self.names_aside() else ""
+        self.remove_partial_files()
+        self.kept_aside = "at an earlier start" if self.list_quarantined_files() else ""
         try:
             recovered = self.recover()
         except HingepitchError as error:
             if error.code != "storage_damaged":
                 raise
-            self.set_aside(error.detail)
-            self.forget()
+            self.quarantine_log(error.detail)
+            self.reset_fields()
             recovered = self.recover()
         log_event(
             "log_recovered",
@@ -146,20 +144,20 @@
         except OSError:
             raise HingepitchError("folder_locked", str(self.folder)) from None
 
-    def remove_leftovers(self):
-        """Remove what a write of a whole file left when it was cut short."""
+    def remove_partial_files(self):
+        """Remove the temporary files of interrupted calls of `write_whole`."""
         for name in os.listdir(self.folder):
-            if name.startswith(LEFTOVER_PREFIXES):
+            if name.startswith(PARTIAL_FILE_PREFIXES):
                 self.disk.remove(self.folder / name)
 
     def recover(self):
-        """Read the folder; raise `storage_damaged`."""
+        """Read the folder and return `Recovered`; raise `storage_damaged`."""
         identity = self.read_identity()
         self.read_snapshot()
         entries = self.read_segments()
         self.check_complete(identity)
         self.open_segment()
-        # What was read may lie in the cache of a killed process' system only.
+        # A killed process may have left what was read in the page cache only.
         run_off_loop(self.segment.sync)
         return Recovered(
             identity=identity,
@@ -172,36 +170,38 @@
         )
 
     def read_identity(self):
-        """Return the identity of the folder; an empty folder gets a new one."""
+        """Return the identity of the folder; write a new one if it is empty."""
         path = self.folder / IDENTITY_NAME
         if path.exists():
             return decode_identity(path.read_bytes())
         if self.holds_old_log():
-            raise HingepitchError("storage_damaged", "a log without an identity")
+            raise HingepitchError(
+                "storage_damaged", "log files without an identity file"
+            )
         identity = f"{self.name}{NEWCOMER_MARK}{uuid.uuid4().hex[:8]}"
         write_whole(self.disk, path, identity.encode())
         return identity
 
     def holds_old_log(self):
-        """Whether a folder without an identity holds what another one wrote.
+        """Whether a folder without an identity holds files of an earlier identity.
 
-        All of it counts, not the segments alone: a loss of power that cuts a
-        set-aside short may leave the snapshot, or the audit trail, which a new
-        identity would take for its own. Only a founding that was cut short
-        leaves its snapshot, and nothing else.
+        Snapshots and audit files count as well as segments: a power loss during
+        a quarantine may leave them, and a new identity would take them for its
+        own. The exception is a first snapshot alone, which an interrupted
+        bootstrap leaves.
         """
-        left = set(filter(LOG_NAME.fullmatch, os.listdir(self.folder)))
-        if not self.names_aside():
+        left = set(filter(LOG_FILE_NAME.fullmatch, os.listdir(self.folder)))
+        if not self.list_quarantined_files():
             left.discard(self.snapshot_path(0).name)
         return bool(left)
 
     def numbers(self, pattern):
-        """Return the numbers in the file names that match `pattern`."""
+        """Return the sorted numbers in the file names that match `pattern`."""
         matches = (pattern.match(name) for name in os.listdir(self.folder))
         return sorted(int(match.group(1)) for match in matches if match)
 
     def read_snapshot(self):
-        """Read the last snapshot."""
+        """Read the latest snapshot, if there is one."""
         numbers = self.numbers(SNAPSHOT_NAME)
         if not numbers:
             return
@@ -218,12 +218,12 @@
         numbers = [at for at in self.numbers(SEGMENT_NAME) if at >= first]
         for number in numbers:
             for batch in self.read_segment(number, number == numbers[-1]):
-                self.take_batch(batch, entries)
+                self.apply_batch(batch, entries)
             self.segment_number = number
         return list(self.entries_after_snapshot(entries))
 
     def read_segment(self, number, is_last):
-        """Yield the batches of one segment; cut a torn tail of the last."""
+        """Yield the batches of a segment; truncate a torn tail of the last segment."""
         path = self.segment_path(number)
         data = path.read_bytes()
         end = 0
@@ -233,21 +233,23 @@
         if end == len(data):
             return
         if not is_last:
-            raise HingepitchError("storage_damaged", f"{path.name} at byte {end}")
+            raise HingepitchError(
+                "storage_damaged", f"{path.name} is damaged at byte {end}"
+            )
         cut_bytes = len(data) - end
         log_event("torn_tail_cut", segment=path.name, at=end, cut_bytes=cut_bytes)
         self.cut(path, end)
 
     def cut(self, path, size):
-        """Cut a file to `size` bytes."""
+        """Truncate a file to `size` bytes."""
         file = self.disk.open(path)
         try:
             file.truncate(size)
         finally:
             file.close()
 
-    def take_batch(self, batch, entries):
-        """Add one batch to what is recovered."""
+    def apply_batch(self, batch, entries):
+        """Apply the vote and the entries of a batch to the recovered ones."""
         self.sequence = max(self.sequence, batch.sequence)
         if batch.vote is not None:
             self.vote = batch.vote
@@ -257,31 +259,34 @@
             entries.append(entry)
 
     def entries_after_snapshot(self, entries):
-        """Yield the entries that continue the snapshot; raise on a gap."""
+        """Yield the entries after the snapshot; raise `storage_damaged` on a gap."""
         expected = self.snapshot.index + 1
         for entry in entries:
             if entry.index < expected:
                 continue
             if entry.index > expected:
-                raise HingepitchError("storage_damaged", f"no entry {expected}")
+                raise HingepitchError("storage_damaged", f"missing entry {expected}")
             if entry.term < self.snapshot.term:
-                # Left by earlier versions, which dropped segments out of order:
-                # the group replaced it before the snapshot.
+                # Earlier versions removed segments out of order and could leave
+                # an entry that the group had replaced before the snapshot.
                 return
             expected += 1
             yield entry
 
     def check_complete(self, identity):
-        """Raise `storage_damaged` where files are gone that no loss of power takes.
+        """Raise `storage_damaged` if files are missing that a power loss keeps.
 
-        Without them the replica would vote, and count as one that has all that
-        was acknowledged, as if it had never voted or stored anything.
+        Without them the replica would vote again in terms in which it has voted,
+        and would count as having entries that it acknowledged and lost.
         """
         if NEWCOMER_MARK not in identity and not self.snapshot_bytes:
-            raise HingepitchError("storage_damaged", "a founder without a snapshot")
-        # Earlier versions, which marked no trail, wrote none with their snapshot.
+            raise HingepitchError(
+                "storage_damaged", "founding member without a snapshot"
+            )
+        # Earlier versions, whose snapshots have no trail position, wrote no batch
+        # with a snapshot.
         if self.snapshot.trail is not None and not self.sequence:
-            raise HingepitchError("storage_damaged", "no batch behind the snapshot")
+            raise HingepitchError("storage_damaged", "no batch after the snapshot")
 
     def segment_path(self, number):
         """Return the path of the segment `number`."""
@@ -292,9 +297,10 @@
         return self.folder / f"snapshot-{index:020}"
 
     def open_segment(self):
-        """Open the last segment for appending, or the first one."""
-        # Closed only when the next one is open: a refused call would leave a
-        # closed file to be closed again, and its number is soon a connection's.
+        """Open the segment `segment_number` for appending; create it if necessary."""
+        # The previous file is closed only once the next one is open. If opening
+        # failed, `close` would close it again, and its file descriptor may belong
+        # to a connection by then.
         before = self.segment
         self.segment = self.disk.open(self.segment_path(self.segment_number))
         if before is not None:
@@ -302,46 +308,42 @@
         self.segment_size = self.segment.size
         self.disk.sync_folder(self.folder)
 
-    # Damage.
-
-    def set_aside(self, reason):
-        """Rename a log that cannot be read; the one set aside before goes.
+    def quarantine_log(self, reason):
+        """Rename the files of a damaged log; remove a log quarantined earlier.
 
-        The identity goes first: without it, what is left is no log that
-        anybody would vote with, wherever a loss of power cuts this short.
+        The identity is renamed first: if a power loss interrupts the quarantine,
+        no replica votes with the remaining files, which have no identity.
         """
         log_event("log_set_aside", folder=self.folder, reason=reason)
         self.set_aside_reason = self.kept_aside = reason
         if (self.folder / IDENTITY_NAME).exists():
-            self.remove_aside()
+            self.remove_quarantined_files()
             self.put_aside(IDENTITY_NAME)
             self.disk.sync_folder(self.folder)
         for name in os.listdir(self.folder):
-            if LOG_NAME.fullmatch(name):
+            if LOG_FILE_NAME.fullmatch(name):
                 self.put_aside(name)
         self.disk.sync_folder(self.folder)
 
-    def remove_aside(self):
-        """Remove a log that was set aside before: one is kept."""
-        for name in self.names_aside():
+    def remove_quarantined_files(self):
+        """Remove the files quarantined earlier: only one log is kept."""
+        for name in self.list_quarantined_files():
             self.disk.remove(self.folder / name)
 
-    def names_aside(self):
-        """Return the names of the files of a log that was set aside."""
+    def list_quarantined_files(self):
+        """Return the names of the quarantined files."""
         names = os.listdir(self.folder)
-        return [name for name in names if name.startswith(ASIDE_PREFIX)]
+        return [name for name in names if name.startswith(QUARANTINE_PREFIX)]
 
     def put_aside(self, name):
-        """Rename one file of a log that cannot be read."""
-        self.disk.rename(self.folder / name, self.folder / f"{ASIDE_PREFIX}{name}")
-
-    # Writing.
+        """Rename one file of a damaged log."""
+        self.disk.rename(self.folder / name, self.folder / f"{QUARANTINE_PREFIX}{name}")
 
     def write(self, vote, entries):
-        """Make a vote (or None) and entries durable, in one sync.
+        """Make a vote (or None) and entries durable with one sync.
 
-        Raises `HingepitchError` (`storage_failed`); the folder has to be
-        opened anew then.
+        Raises `HingepitchError` (`storage_failed`); the folder must then be
+        opened again.
         """
         if vote is not None:
             self.vote = vote
@@ -356,32 +358,30 @@
         self.bytes_written += len(data)
 
     def write_synced(self, data):
-        """Append `data` to the segment and sync it; runs in a thread."""
+        """Append `data` to the segment and sync it, in a thread of the pool."""
         self.segment.write_all(data)
         self.segment.sync()
 
     def undo_write(self):
-        """Cut a write that failed half-way, if the disk takes that."""
+        """Truncate the segment after a failed write, if the disk allows it."""
         try:
             self.segment.truncate(self.segment_size)
         except OSError as error:
-            # The next opening cuts it, or syncs what is whole.
+            # The next `open` truncates a torn batch and syncs a complete one.
             log_event("storage_failed", error=str(error))
 
-    # Snapshots.
-
     def save_snapshot(self, snapshot, entries=()):
-        """Write a snapshot that takes the place of the whole log.
+        """Write a snapshot and remove the files that it replaces.
 
-        A new segment holds what the snapshot does not, and is synced first:
-        with the snapshot all earlier files are void, also if a loss of power
-        brings their names back.
+        The vote and the entries after the snapshot are first written and synced
+        to a new segment. The snapshot names this segment, so all earlier files
+        are void even if a power loss restores their names.
 
         `entries`
-            Those after the snapshot that are in the log.
+            Entries of the log after the snapshot.
 
-        Raises `HingepitchError` (`storage_failed`); the folder has to be
-        opened anew then.
+        Raises `HingepitchError` (`storage_failed`); the folder must then be
+        opened again.
         """
         try:
             self.segment_number += 1
@@ -400,7 +400,7 @@
         self.bytes_written += len(data)
 
     def remove_void_files(self):
-        """Remove the snapshots and segments that the last snapshot replaces."""
+        """Remove the snapshots and segments that the latest snapshot replaces."""
         for number in self.numbers(SNAPSHOT_NAME):
             if number < self.snapshot.index:
                 self.disk.remove(self.snapshot_path(number))
@@ -409,11 +409,11 @@
                 self.disk.remove(self.segment_path(number))
 
     def anew(self):
-        """Return a store of the same folder that is not open yet."""
+        """Return a `Storage` of the same folder that is not open yet."""
         return Storage(self.folder, self.name, self.disk)
 
     def close(self):
-        """Close the files and give the lock back."""
+        """Close the files and release the lock."""
         segment, self.segment = self.segment, None
         lock_file, self.lock_file = self.lock_file, None
         for file in (segment, lock_file):
--- a/hingepitch/control/writer.py
+++ b/hingepitch/control/writer.py
@@ -2,8 +2,8 @@
 hingepitch.control.writer
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Writes votes and entries to the data folder in their order; those of a
-leader beside its other work.
+Writes votes and entries to the data folder in order. A leader's entries are
+written in the background.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -19,54 +19,54 @@
 
 
 class LogWriter:
-    """The order of writes to one data folder.
+    """Serializes the writes to one data folder.
 
-    A leader that waits for its own disk before it sends makes each change
-    wait for two disks in a row, and stands still while its disk is slow: on
-    a day with a slow disk no VM was moved for 1.3 s, until the others chose
-    another leader. So its entries are written while the others write them.
+    A leader writes its entries while the followers write them. If it waited for
+    its own disk before sending, each change would wait for two disks in a row, and
+    a slow disk would block the leader: one stalled all VM moves for 1.3 s, until
+    the other replicas elected another leader.
 
     `storage`
-        The data folder.
+        The `Storage` of the data folder.
     `put`
-        Function that queues an event for the core.
+        Function that queues an event for the consensus core.
     `waiting`
         Entries of the leader that are not written yet.
     `lock`
-        Held while something is written.
+        Held during a write.
     `fault`
-        The error after which nothing more is written, or None.
+        Error of a failed write, after which nothing is written, or None.
     """
 
     def __init__(self, storage, put):
         self.storage = storage
         self.put = put
         self.waiting = []
-        self.arrived = Event()
+        self.entries_queued = Event()
         self.lock = BoundedSemaphore(1)
         self.fault = None
 
     @property
     def is_behind(self):
-        """Whether entries of the leader are waiting, or being written."""
+        """Whether entries of the leader are queued or a write is in progress."""
         return bool(self.waiting) or self.lock.locked()
 
     def reset(self, storage):
-        """Write to a folder that was opened anew; what waited is dropped."""
+        """Write to `storage` from now on; drop queued entries and the error."""
         self.storage = storage
         self.waiting = []
         self.fault = None
 
     def write_later(self, entries):
-        """Write entries of the leader as soon as the disk is free."""
+        """Queue entries of the leader for `wait_and_write`."""
         self.waiting += entries
-        self.arrived.set()
+        self.entries_queued.set()
 
     def write(self, vote=None, entries=()):
-        """Make all that waits, a vote (or None) and `entries` durable.
+        """Make the queued entries, a vote (or None) and `entries` durable.
 
-        Raises `HingepitchError` (`storage_failed`), then and ever after: an
-        entry must not be written behind one that is missing.
+        Raises `HingepitchError` (`storage_failed`) if the write fails, and in
+        each later call until `reset`: no entry may be written after a gap.
         """
         with self.lock:
             self.check()
@@ -79,19 +79,19 @@
                 self.fault = error
                 raise
             except Exception as error:
-                # Whatever kept it from the disk, it is missing there.
+                # After any other error the entries are missing on disk, too.
                 self.fault = HingepitchError("storage_failed", repr(error))
                 raise self.fault from error
             if ahead:
                 self.put(Durable(ahead[-1].index, ahead[-1].term))
 
     def check(self):
-        """Raise the error of an earlier write, if there was one."""
+        """Raise the error of an earlier failed write, if there was one."""
         if self.fault is not None:
             raise self.fault
 
     def wait_and_write(self):
-        """Wait for entries of the leader, and write them."""
-        self.arrived.wait()
-        self.arrived.clear()
+        """Wait until entries of the leader are queued, then write them."""
+        self.entries_queued.wait()
+        self.entries_queued.clear()
         self.write()
--- a/tests/test_disk_states.py
+++ b/tests/test_disk_states.py
@@ -32,7 +32,7 @@
 from loguru import logger
 
 from hingepitch.control import audit as audit_module
-from hingepitch.control.audit import MISSING, AuditRecord, AuditTrail
+from hingepitch.control.audit import MISSING_COMMAND, AuditRecord, AuditTrail
 from hingepitch.control.batch import Batch, encode_batch
 from hingepitch.control.message import Entry, EntryKind, Member
 from hingepitch.control.snapshot import Snapshot
@@ -260,7 +260,7 @@
         """Compare the audit trail with the records that were added."""
         found = tuple(
             (record.missing_after, record.index)
-            if record.command == MISSING
+            if record.command == MISSING_COMMAND
             else record.index
             for record in self.audit.read()
         )
--- a/tests/test_every_call.py
+++ b/tests/test_every_call.py
@@ -12,7 +12,7 @@
 import pytest
 
 from hingepitch.control import replica as replica_module
-from hingepitch.control.audit import MISSING
+from hingepitch.control.audit import MISSING_COMMAND
 from hingepitch.control.message import Install
 from hingepitch.error import HingepitchError
 from standin.powerdisk import Refusal
@@ -152,7 +152,9 @@
     assert one.replica.core.log.last_index == snapshot.index
     assert one.replica.state.to_snapshot() == snapshot.state
     trail = list(one.replica.audit.read())
-    places = [at for at, record in enumerate(trail) if record.command == MISSING]
+    places = [
+        at for at, record in enumerate(trail) if record.command == MISSING_COMMAND
+    ]
     assert places == [len(trail) - 1]
     assert trail[-1].index == snapshot.index
     assert [record.command_id for record in trail[:-1]] == one.tried[: len(trail) - 1]
--- a/tests/test_start_stays.py
+++ b/tests/test_start_stays.py
@@ -47,7 +47,7 @@
 @pytest.mark.parametrize(
     "error",
     [
-        HingepitchError("storage_unknown", "no record of type 99"),
+        HingepitchError("storage_unknown", "unknown record type 99"),
         RuntimeError("nobody foresaw it"),
         StopIteration(),
     ],
@@ -151,7 +151,7 @@
             file.write(LATER_RECORD)
         process.start()
         wait_for(lambda: site.status(ip), what="the status of the one that waits")
-        assert "no record of type 99" in site.status(ip)["storage_fault"]
+        assert "unknown record type 99" in site.status(ip)["storage_fault"]
         assert http_call(f"{ip}:{site.port}", "GET", "/healthz")[0] == 503
         assert folder_figures(site, ip) == (1, 1)
         assert site.put_config(2) == 200
