--- a/hingepitch/control/handler.py
+++ b/hingepitch/control/handler.py
@@ -146,7 +146,7 @@
         return encode(self.call_or_redirect(self.jobs.answer, decoded))
 
     def call_or_redirect(self, function, *arguments):
-        """Call `function`; turn `not_leader` into `Refused` with the leader's address."""
+        """Call `function`; on `not_leader`, raise `Refused` with the leader address."""
         try:
             return function(*arguments)
         except HingepitchError as error:
--- a/hingepitch/control/program.py
+++ b/hingepitch/control/program.py
@@ -173,12 +173,12 @@
         )
         self.metrics.set(
             "log_set_aside",
-            "1 while the data folder holds files of a quarantined log.",
+            "1 while files of a log that could not be read are kept.",
             int(bool(replica.storage.kept_aside)),
         )
         self.metrics.set(
             "audit_places_missing",
-            "Log indexes whose audit records were found missing since the start.",
+            "Places of the log whose audit records were found missing since the start.",
             replica.audit.missing_places,
         )
 
