--- a/tests/lone_replica.py
+++ b/tests/lone_replica.py
@@ -1,4 +1,4 @@
-"""A replica with a data folder and nobody to talk to."""
+"""A replica with a data folder and without peers."""
 
 from types import SimpleNamespace
 
@@ -8,7 +8,7 @@
 
 
 def make_replica(folder, name="c1"):
-    """Return the `Replica` of a folder, which is not open yet."""
+    """Return a `Replica` of a data folder that is not open yet."""
     return Replica(
         Storage(folder, name),
         AuditTrail(folder),
--- a/tests/power_replica.py
+++ b/tests/power_replica.py
@@ -1,4 +1,4 @@
-"""One replica that votes alone, on a disk that loses power."""
+"""A replica that is its own quorum, on a simulated disk that loses power."""
 
 import random
 from types import SimpleNamespace
@@ -19,12 +19,12 @@
 
 
 class PowerReplica:
-    """Keeps what was acknowledged, and compares it after each loss of power.
+    """A replica on a `PowerDisk`, with a record of the proposed commands.
 
     `acked`
-        Id and code of each operator command that was decided, in order.
-    `tried`
-        Ids of all that were sent, in order.
+        Id and error code of each decided operator command, in order.
+    `proposed_ids`
+        Ids of all proposed operator commands, in order.
     """
 
     def __init__(self, folder, seed=0):
@@ -34,17 +34,17 @@
         self.folder = folder
         self.replica = None
         self.acked = []
-        self.tried = []
+        self.proposed_ids = []
         self.number = 0
         self.greenlets = []
 
     def start(self):
-        """Open the folder, as a program does at its start, and lead."""
+        """Open the folder as a program does at its start, and become leader."""
         self.open()
         self.lead()
 
     def open(self):
-        """Open the folder, as a program does at its start."""
+        """Open the folder as a program does at its start."""
         links = SimpleNamespace(send=lambda *_: None)
         roster = SimpleNamespace(take_over=lambda now: None)
         self.replica = Replica(
@@ -58,7 +58,7 @@
         self.replica.open()
 
     def lead(self):
-        """Run the replica until it leads, or the power is lost."""
+        """Run the replica until it leads or the power is lost."""
         self.greenlets = [
             gevent.spawn(self.replica.run),
             gevent.spawn(self.replica.write_ahead),
@@ -66,7 +66,7 @@
         assert wait_until(self.is_ready, SECONDS)
 
     def is_ready(self):
-        """Whether the replica leads and knows all that was committed."""
+        """Whether the replica leads and has committed its log, or has no power."""
         if not self.disk.has_power:
             return True
         self.replica.put(Tick())
@@ -75,7 +75,7 @@
         return self.replica.is_leader and core.commit_index == core.log.last_index
 
     def relabel(self):
-        """Send one operator command; the first one makes the pool."""
+        """Propose one VM; the first call proposes its pool before."""
         if not self.number:
             self.propose(PutPool("pool"), "pool")
         self.number += 1
@@ -85,9 +85,9 @@
         self.propose(vm, name)
 
     def propose(self, command, name):
-        """Send an operator command; note it once it is decided."""
+        """Propose an operator command; record it and its outcome."""
         envelope = Envelope(Role.OPERATOR, "journeys", "someone", command, name)
-        self.tried.append(name)
+        self.proposed_ids.append(name)
         try:
             outcome = self.replica.propose(envelope)
         except HingepitchError:
@@ -95,29 +95,29 @@
         self.acked.append((name, outcome.code))
 
     def kill(self):
-        """End the program, as a signal does: nothing is flushed or closed."""
+        """End the program as a signal does: nothing is flushed or closed."""
         gevent.killall(self.greenlets)
         self.greenlets = []
 
     def lose_power(self):
-        """End the program, and leave what a loss of power leaves."""
+        """End the program and simulate the outcome of a power loss."""
         self.kill()
-        self.let_go()
+        self.close_files()
         self.disk.lose_power(self.rng)
 
-    def let_go(self):
-        """Close the files of a program that was killed; nothing is flushed."""
+    def close_files(self):
+        """Close the files of a killed program without flushing."""
         storage, audit = self.replica.storage, self.replica.audit
         for file in (storage.segment, storage.lock_file, audit.file):
             if file is not None:
                 file.close()
 
     def missing(self):
-        """Return the VMs that were acknowledged and are not in the state."""
+        """Return the names of acknowledged VMs that are missing in the state."""
         vms = self.replica.state.by_kind["vm"]
         accepted = [name for name, code in self.acked if not code and name != "pool"]
         return [name for name in accepted if name not in vms]
 
     def audited(self):
-        """Return the names in the audit trail, in its order."""
+        """Return the command ids in the audit trail, in order."""
         return [record.command_id for record in self.replica.audit.read()]
--- a/tests/test_any_folder.py
+++ b/tests/test_any_folder.py
@@ -1,9 +1,10 @@
-"""A data folder whose files hold anything at all: a replica opens it.
+"""Tests that a replica opens its data folder whatever its files hold.
 
-A control ended at each start by what a loss of power had left in one file of its
-data folder. So each file of a folder is taken, emptied, cut, zeroed, overwritten and
-doubled, up to three times in all, with fixed seeds. Each time the folder opens: what
-it had, or as a replica that has lost its disk; it never opens halfway.
+A power loss can leave arbitrary data in a file, and a control must not end at each
+start because of it. With fixed seeds, files of a folder are removed, emptied,
+truncated, zeroed, overwritten or doubled, up to three times. The replica must then
+open with its full content, or quarantine the log and start like a replica that
+lost its disk.
 """
 
 import random
@@ -20,7 +21,7 @@
 CHANGES = 40
 SNAPSHOT_EVERY = 15
 
-#: Longest stretch of a file that is damaged at once, in bytes.
+#: Longest range of a file that is zeroed or overwritten, in bytes.
 STRETCH_BYTES = 3000
 
 
@@ -55,11 +56,11 @@
     return start, min(len(data), start + rng.randrange(STRETCH_BYTES))
 
 
-def taken(data, rng):
+def removed(data, rng):
     return None
 
 
-DAMAGES = (cut, empty, zeros, zeroed_within, overwritten_within, doubled, taken)
+DAMAGES = (cut, empty, zeros, zeroed_within, overwritten_within, doubled, removed)
 
 
 @pytest.fixture
@@ -72,12 +73,12 @@
         made.relabel()
     PeerBook(["127.0.0.1:1"], made.folder, Disk()).save()
     made.kill()
-    made.let_go()
+    made.close_files()
     return made
 
 
 def damage(files, rng):
-    """Return the files after one to three damages, which may meet in one file."""
+    """Return the files after one to three damages, possibly of the same file."""
     damaged = dict(files)
     for path in rng.choices(sorted(files), k=rng.randrange(1, 4)):
         data = rng.choice(DAMAGES)(damaged.pop(path, b""), rng)
@@ -87,7 +88,7 @@
 
 
 def check(opened, identity):
-    """A folder with its identity is open under it, or set aside."""
+    """Check that the replica kept its identity or quarantined the log."""
     assert not opened.unread
     if opened.storage.set_aside_reason:
         assert opened.core.identity.startswith("c1~")
@@ -97,7 +98,7 @@
         assert opened.core.voters == ["c1"]
 
 
-# Guards against: a start that ends by what a file of its data folder holds.
+# Guards against: a start that ends because of damage to a file of its data folder.
 def test_a_folder_with_any_damage_opens(replica):
     files = read_folder(replica.folder)
     kinds = {path.rpartition("/")[2].partition("-")[0] for path in files}
@@ -110,4 +111,4 @@
         book.load()
         replica.open()
         check(replica.replica, damaged[identity] if identity in damaged else b"")
-        replica.let_go()
+        replica.close_files()
--- a/tests/test_audit_trail.py
+++ b/tests/test_audit_trail.py
@@ -1,7 +1,8 @@
-"""The audit trail is bounded, and says what it does not hold.
+"""Tests of the audit trail: its size limit, and its reports of missing records.
 
-Without a bound it took the disk from the log: records of a large configuration
-are hundreds of kilobytes, a disk of 128 MB was full after some hundred changes.
+An unbounded trail leaves no disk space for the log: records of a large
+configuration take hundreds of kilobytes, and a disk of 128 MB was full after a few
+hundred changes.
 """
 
 import random
@@ -11,7 +12,7 @@
 from hingepitch.control.audit import AuditRecord, AuditTrail
 from standin.powerdisk import PowerDisk
 
-KEEP_BYTES = 40_000
+MAX_BYTES = 40_000
 
 
 @pytest.fixture
@@ -24,9 +25,9 @@
     return AuditRecord(index, 5, "journeys", "joris", "PutVm", "vm", "x" * 300)
 
 
-def open_trail(disk, mark=None, snapshot_index=0):
-    trail = AuditTrail(disk.folder, disk, KEEP_BYTES)
-    trail.open(mark, snapshot_index)
+def open_trail(disk, position=None, snapshot_index=0):
+    trail = AuditTrail(disk.folder, disk, MAX_BYTES)
+    trail.open(position, snapshot_index)
     return trail
 
 
@@ -42,26 +43,26 @@
     return [one.index for one in trail.read()]
 
 
-def test_the_oldest_part_goes_and_is_shown_as_missing(disk):
+def test_removed_oldest_records_are_shown_as_missing(disk):
     trail = open_trail(disk)
     fill(trail, 1, 400)
     sizes = [path.stat().st_size for path in trail.paths()]
-    assert sum(sizes) <= KEEP_BYTES
+    assert sum(sizes) <= MAX_BYTES
     first, *rest = trail.read()
     assert (first.missing_after, first.index) == (0, rest[0].index - 1)
     assert [one.index for one in rest] == list(range(rest[0].index, 401))
     trail.close()
 
 
-def test_removed_files_that_come_back_are_no_part_of_it(disk):
+def test_removed_files_restored_by_a_power_loss_are_ignored(disk):
     for seed in range(20):
         trail = open_trail(disk)
-        mark = fill(trail, 1, 400)
+        position = fill(trail, 1, 400)
         disk.sync_folder(disk.folder)
         fill(trail, 401, 600)
         trail.close()
         disk.lose_power(random.Random(seed))
-        again = open_trail(disk, mark, 400)
+        again = open_trail(disk, position, 400)
         first, *rest = again.read()
         assert first.missing_after == 0, seed
         assert [one.index for one in rest] == list(range(first.index + 1, 401)), seed
@@ -70,13 +71,15 @@
 
 
 @pytest.mark.parametrize(("bytes_left", "records_left"), [(0, 0), (1000, 2)])
-def test_a_file_that_was_cut_is_shown_as_missing(disk, bytes_left, records_left):
+def test_records_of_a_truncated_file_are_shown_as_missing(
+    disk, bytes_left, records_left
+):
     trail = open_trail(disk)
-    mark = fill(trail, 1, 20)
+    position = fill(trail, 1, 20)
     trail.close()
     path = trail.paths()[-1]
     path.write_bytes(path.read_bytes()[:bytes_left])
-    again = open_trail(disk, mark, 20)
+    again = open_trail(disk, position, 20)
     again.add(record(21))
     left = [(-1, index) for index in range(1, records_left + 1)]
     shown = [(one.missing_after, one.index) for one in again.read()]
@@ -85,21 +88,21 @@
     again.close()
 
 
-def test_a_line_that_cannot_be_read_hides_no_other(disk):
+def test_a_damaged_line_hides_no_other_record(disk):
     trail = open_trail(disk)
-    mark = fill(trail, 1, 9)
+    position = fill(trail, 1, 9)
     trail.close()
     path = trail.paths()[0]
     lines = path.read_bytes().splitlines(keepends=True)
     lines[4] = b"\x00" * (len(lines[4]) - 1) + b"\n"
     path.write_bytes(b"".join(lines))
-    again = open_trail(disk, mark, 9)
+    again = open_trail(disk, position, 9)
     assert indexes(again) == list(range(1, 10))
     assert [one.index for one in again.read() if one.missing_after >= 0] == [5]
     again.close()
 
 
-def test_a_trail_of_an_earlier_version_keeps_what_its_snapshot_covers(disk):
+def test_a_trail_of_an_earlier_version_keeps_records_covered_by_its_snapshot(disk):
     trail = open_trail(disk)
     fill(trail, 1, 12)
     trail.close()
--- a/tests/test_disk_states.py
+++ b/tests/test_disk_states.py
@@ -1,15 +1,13 @@
-"""The data folder on a disk that loses power, in any state it can come to.
-
-A control program that did not start after a loss of power had met a state of
-its files that nobody had thought of. So hypothesis looks for such states: it
-writes votes and entries, overwrites tails, writes and installs snapshots, adds
-to the audit trail, and in any call of any of these, the opening among them, it
-takes the power, kills the program, or has the disk refuse. After that the
-folder opens without being set aside, under the same identity, and holds what
-was acknowledged or that and the one step under way: nothing older, nothing
-that was never written, the audit records once each and in order.
-
-A long run by hand: `python -m tests.test_disk_states EXAMPLES SEED`.
+"""Stateful test of the data folder under power losses, kills and disk errors.
+
+It guards against file states that keep a replica from starting. Hypothesis writes
+votes and entries, overwrites tails, writes and installs snapshots and adds audit
+records. In any disk call of these steps, and of opening the folder, it injects a
+power loss, a kill or a disk error. Afterwards the folder must open under the same
+identity, without a quarantine. It must hold the acknowledged content, or that plus
+the interrupted step, and each audit record once and in order.
+
+Run more examples by hand: `python -m tests.test_disk_states EXAMPLES SEED`.
 """
 
 import random
@@ -44,28 +42,28 @@
 EXAMPLES_IN_CI = 200
 STEPS = 30
 
-#: Sizes of the audit trail, in bytes: small, so that a few records fill a buffer
-#: and a few buffers a file.
+#: Sizes of the audit trail's buffer and files, in bytes: small, so that a few records
+#: fill a buffer and a few buffers fill a file.
 BUFFER_BYTES = 250
 MAX_FILE_BYTES = 1200
 
-#: Begins the payload of an entry that is an operator's command.
+#: Prefix of the payload of entries that stand for operator commands.
 AUDITED = b"operator"
 
-#: Calls that make room or undo; a disk may refuse them together with writes.
+#: Writes and the truncations that undo them; a disk may refuse both.
 UNDOING_NAMES = ("write", "truncate")
 SYNCING_NAMES = ("sync", "sync_folder")
 
 
-class Trouble(NamedTuple):
-    """What goes wrong during one step.
+class InjectedFault(NamedTuple):
+    """A fault injected into one step.
 
     `kind`
         `power`, `kill` or `refused`.
     `after`
-        So many calls of the step go well.
+        Number of disk calls of the step that succeed first.
     `seed`
-        Of what a loss of power leaves.
+        Seed of the outcome of a power loss.
     """
 
     kind: str
@@ -76,7 +74,7 @@
     part: float = 0.0
 
     def arm(self, disk):
-        """Have it come about in the calls that follow."""
+        """Let the fault occur in the following disk calls."""
         if self.kind == "power":
             disk.lose_power_after(self.after)
         else:
@@ -85,11 +83,11 @@
 
 
 class Content(NamedTuple):
-    """What a data folder holds.
+    """The expected content of a data folder.
 
     `trail`
-        The audit trail as far as the snapshot covers it: the place of each
-        record, or first and last place of those that are missing.
+        The audit trail up to the snapshot: the log index of each record, or a pair
+        `(missing_after, index)` for missing records.
     """
 
     vote: tuple
@@ -98,9 +96,9 @@
     trail: tuple
 
 
-#: Calls that go well before a trouble: a write is two calls, a snapshot about 12.
-FEW = st.integers(0, 2)
-MANY = st.integers(0, 13)
+#: Disk calls before a fault: a write takes two calls, a snapshot about 12.
+FEW_CALLS = st.integers(0, 2)
+MANY_CALLS = st.integers(0, 13)
 
 seeds = st.integers(0, 999)
 parts = st.sampled_from((0.0, 0.3, 0.6, 1.0))
@@ -109,14 +107,14 @@
 )
 
 
-def troubles_after(calls):
-    """Return the strategy of the troubles after so many calls."""
+def faults_after(calls):
+    """Return the strategy of faults after `calls` disk calls."""
     return st.one_of(
-        st.builds(Trouble, st.just("power"), calls, seeds),
-        st.builds(Trouble, st.just("power"), calls, seeds),
-        st.builds(Trouble, st.just("kill"), calls, seeds, part=parts),
+        st.builds(InjectedFault, st.just("power"), calls, seeds),
+        st.builds(InjectedFault, st.just("power"), calls, seeds),
+        st.builds(InjectedFault, st.just("kill"), calls, seeds, part=parts),
         st.builds(
-            Trouble,
+            InjectedFault,
             st.just("refused"),
             calls,
             seeds,
@@ -127,21 +125,21 @@
     )
 
 
-soon = st.one_of(st.none(), troubles_after(FEW))
-late = st.one_of(st.none(), troubles_after(MANY))
-troubles_at_opening = st.lists(troubles_after(st.integers(0, 6)), max_size=2)
+early_fault = st.one_of(st.none(), faults_after(FEW_CALLS))
+late_fault = st.one_of(st.none(), faults_after(MANY_CALLS))
+faults_at_open = st.lists(faults_after(st.integers(0, 6)), max_size=2)
 payload_sizes = st.sampled_from((0, 20, 300, 5000, 13000))
 
 
 class DataFolder(RuleBasedStateMachine):
-    """One data folder, and what has to be in it.
+    """State machine of one data folder and its expected content.
 
     `held`
-        What was acknowledged.
+        The acknowledged content.
     `attempted`
-        What may be there in its place: the step that failed.
+        The content after the failed step, which is allowed too.
     `commit_index`
-        Entries up to it are never overwritten.
+        Index of the last committed entry; committed entries are never overwritten.
     """
 
     def __init__(self):
@@ -165,14 +163,12 @@
         self.reopen([])
 
     def teardown(self):
-        self.let_go()
+        self.close_files()
         self.patches.stop()
         shutil.rmtree(self.folder.parent)
 
-    # The process.
-
-    def let_go(self):
-        """Close the files as the end of a process does: nothing is flushed."""
+    def close_files(self):
+        """Close the files without flushing, as the end of a process does."""
         audit, self.audit = self.audit, None
         storage, self.storage = self.storage, None
         if audit is not None and audit.file is not None:
@@ -181,28 +177,29 @@
             storage.close()
 
     def stop(self):
-        """Close the files as a program does that stops, or opens them anew."""
+        """Close the files as a program does before it stops or opens them again."""
         for part in (self.audit, self.storage):
             try:
                 part.close()
             except OSError:
                 pass
-        self.let_go()
+        self.close_files()
 
-    def end(self, how):
-        """End the process in the way of a trouble."""
-        if how.kind == "refused":
+    def end(self, fault):
+        """End the process in the way of the injected fault."""
+        if fault.kind == "refused":
             self.stop()
             return
-        self.let_go()
+        self.close_files()
         self.disk.refuse(None)
-        if how.kind == "power":
-            self.disk.lose_power(random.Random(how.seed))
+        if fault.kind == "power":
+            self.disk.lose_power(random.Random(fault.seed))
 
     def open_once(self):
-        """Open the folder as a replica does, and check what it holds.
+        """Open the folder as a replica does, and check its content.
 
-        A program that starts writes nothing by that: what it read has to last.
+        A start does not write the content again, so content that was read must
+        survive the next power loss.
         """
         self.storage = Storage(self.folder, "c1", self.disk)
         self.audit = AuditTrail(self.folder, self.disk)
@@ -210,22 +207,22 @@
         snapshot = self.storage.snapshot
         self.check(recovered, snapshot)
         self.audit.open(snapshot.trail, snapshot.index)
-        self.apply_again()
+        self.apply_committed()
 
-    def reopen(self, troubles):
-        """Open the folder with these troubles on the way, and then without."""
-        for how in troubles:
-            how.arm(self.disk)
-            if self.try_to_open() and how.kind != "power":
+    def reopen(self, faults):
+        """Open the folder once with each fault, then without a fault."""
+        for fault in faults:
+            fault.arm(self.disk)
+            if self.try_to_open() and fault.kind != "power":
                 self.stop()
             else:
-                self.end(how)
+                self.end(fault)
         self.disk.refuse(None)
         self.disk.lose_power_after(None)
         assert self.try_to_open()
 
     def try_to_open(self):
-        """Open the folder; return whether the disk let it."""
+        """Open the folder; return whether it opened without a disk error."""
         try:
             self.open_once()
         except OSError:
@@ -236,7 +233,7 @@
         return True
 
     def check(self, recovered, snapshot):
-        """Compare what was recovered with what has to be there."""
+        """Compare the recovered content with the expected one."""
         assert not self.storage.set_aside_reason
         assert recovered.identity == "c1"
         assert recovered.members == MEMBERS
@@ -251,13 +248,13 @@
         first = snapshot.index + 1
         assert indices == list(range(first, first + len(indices)))
 
-    def apply_again(self):
-        """Apply what is committed, from the snapshot on, and compare the trail."""
+    def apply_committed(self):
+        """Apply the committed entries after the snapshot and check the trail."""
         self.apply_up_to(self.held.snapshot[0], self.commit_index)
         self.check_trail()
 
     def check_trail(self):
-        """Compare the audit trail with the records that were added."""
+        """Compare the audit trail with the added records."""
         found = tuple(
             (record.missing_after, record.index)
             if record.command == MISSING_COMMAND
@@ -266,13 +263,11 @@
         )
         assert found == self.trail
 
-    # Steps.
-
-    def attempt(self, step, content, how):
-        """Carry a step out, with a trouble or None on the way."""
+    def attempt(self, step, content, fault):
+        """Carry out a step with an injected fault or None."""
         self.attempted = content
-        if how is not None:
-            how.arm(self.disk)
+        if fault is not None:
+            fault.arm(self.disk)
         try:
             step()
         except OSError:
@@ -283,32 +278,32 @@
         else:
             is_done = True
             self.held = content
-        assert is_done or how is not None
+        assert is_done or fault is not None
         if is_done and self.disk.has_power:
             self.disk.refuse(None)
             self.disk.lose_power_after(None)
             return
-        self.end(how)
+        self.end(fault)
         self.reopen([])
 
     @property
     def last_index(self):
-        """Place of the last entry that was acknowledged."""
+        """Log index of the last acknowledged entry."""
         return self.held.snapshot[0] + len(self.held.entries)
 
     def apply_up_to(self, start, end):
-        """Add the audit records of the entries after `start` up to `end`."""
+        """Add the audit records of the entries after `start`, up to `end`."""
         for entry in self.held.entries:
             if start < entry.index <= end and entry.payload.startswith(AUDITED):
-                if entry.index > self.last_of_trail():
+                if entry.index > self.last_trail_index():
                     self.trail += (entry.index,)
                 record = AuditRecord(
                     entry.index, 1, "journeys", "someone", "PutVm", "vm", "name"
                 )
                 self.audit.add(record)
 
-    def last_of_trail(self):
-        """Place of the last record of the trail."""
+    def last_trail_index(self):
+        """Log index of the last record of the trail."""
         last = self.trail[-1] if self.trail else 0
         return last[1] if isinstance(last, tuple) else last
 
@@ -316,10 +311,10 @@
         is_vote=st.booleans(),
         sizes=st.lists(payload_sizes, max_size=4),
         over=st.integers(0, 3),
-        how=soon,
+        fault=early_fault,
     )
-    def write(self, is_vote, sizes, over, how):
-        """Write a vote or entries, perhaps in the place of a tail."""
+    def write(self, is_vote, sizes, over, fault):
+        """Write a vote or entries, which may replace uncommitted entries."""
         old = self.held
         over = min(over, self.last_index - self.commit_index)
         if not is_vote and not sizes:
@@ -330,32 +325,32 @@
         new = [self.make_entry(start + at, term, size) for at, size in enumerate(sizes)]
         kept = old.entries[: start - old.snapshot[0] - 1] if new else old.entries
         content = old._replace(vote=vote or old.vote, entries=(*kept, *new))
-        self.attempt(lambda: self.storage.write(vote, new), content, how)
+        self.attempt(lambda: self.storage.write(vote, new), content, fault)
 
     def make_entry(self, index, term, size):
-        """Return an entry that is like no other."""
+        """Return an entry with a unique payload."""
         self.count += 1
         begin = AUDITED if self.count % 3 else b"other"
         payload = begin + b" %d " % self.count + self.nested_record()
         return Entry(index, term, EntryKind.COMMAND, payload + bytes([37]) * size)
 
     def nested_record(self):
-        """Return now and then a record of the log, as a part of a payload."""
+        """Return an old log record to embed in a payload, or nothing for some entries."""
         if self.count % 2 or self.storage.sequence < 2:
             return b""
         return b" " * 4096 + encode_batch(Batch(self.storage.sequence - 1, None, ()))
 
-    @rule(count=st.integers(1, 3), how=soon)
-    def commit(self, count, how):
-        """Apply some entries; their audit records are not synced."""
+    @rule(count=st.integers(1, 3), fault=early_fault)
+    def commit(self, count, fault):
+        """Apply entries, which adds audit records without a sync."""
         start = self.commit_index
         self.commit_index = min(self.last_index, start + count)
         end = self.commit_index
-        self.attempt(lambda: self.apply_up_to(start, end), self.held, how)
+        self.attempt(lambda: self.apply_up_to(start, end), self.held, fault)
 
-    @rule(how=late)
-    def save_snapshot(self, how):
-        """Write a snapshot, with the entries behind it."""
+    @rule(fault=late_fault)
+    def save_snapshot(self, fault):
+        """Write a snapshot with the entries after it."""
         old, index = self.held, self.commit_index
         if index == old.snapshot[0]:
             return
@@ -367,26 +362,26 @@
         content = old._replace(
             snapshot=(index, term, snapshot.state), entries=behind, trail=self.trail
         )
-        self.attempt(lambda: self.write_snapshot(snapshot, behind), content, how)
+        self.attempt(lambda: self.write_snapshot(snapshot, behind), content, fault)
 
     def write_snapshot(self, snapshot, behind):
         """Write a snapshot as `Replica.snapshot_if_due` does."""
         snapshot.trail = self.audit.sync()
         self.storage.save_snapshot(snapshot, behind)
 
-    @rule(ahead=st.integers(1, 5), how=late)
-    def install(self, ahead, how):
+    @rule(ahead=st.integers(1, 5), fault=late_fault)
+    def install(self, ahead, fault):
         """Install a snapshot of another replica, as `Replica.install` does."""
         old = self.held
         index = self.last_index + ahead
         term = old.vote[0]
         self.count += 1
         snapshot = Snapshot(index, term, MEMBERS, b"installed %d" % self.count * 400)
-        trail = (*self.trail, (self.last_of_trail(), index))
+        trail = (*self.trail, (self.last_trail_index(), index))
         content = old._replace(
             snapshot=(index, term, snapshot.state), entries=(), trail=trail
         )
-        self.attempt(lambda: self.write_installed(snapshot), content, how)
+        self.attempt(lambda: self.write_installed(snapshot), content, fault)
         if self.held is content:
             self.trail = trail
             self.commit_index = index
@@ -396,32 +391,34 @@
         self.audit.skip_to(snapshot.index)
         self.write_snapshot(snapshot, ())
 
-    @rule(how=troubles_after(FEW), troubles=troubles_at_opening)
-    def end_and_reopen(self, how, troubles):
-        """End the process between two steps; the opening may have troubles."""
-        self.end(how)
-        self.reopen(troubles)
-
-    @rule(how=soon)
-    def write_nothing(self, how):
-        """Write the vote again, as a replica does that opens its files anew."""
-        self.attempt(lambda: self.storage.write(self.storage.vote, []), self.held, how)
+    @rule(fault=faults_after(FEW_CALLS), faults=faults_at_open)
+    def end_and_reopen(self, fault, faults):
+        """End the process between two steps; open it with injected faults."""
+        self.end(fault)
+        self.reopen(faults)
+
+    @rule(fault=early_fault)
+    def write_nothing(self, fault):
+        """Write the current vote again, as a replica does after reopening its files."""
+        self.attempt(
+            lambda: self.storage.write(self.storage.vote, []), self.held, fault
+        )
 
     @rule()
     def read_trail(self):
-        """Read the audit trail while it is written."""
+        """Check the audit trail while it is open for writing."""
         self.check_trail()
 
 
 def run(examples, is_seeded):
-    """Run the machine over so many examples."""
+    """Run the state machine for a number of examples."""
     run_state_machine_as_test(
         DataFolder,
         settings=settings(
             max_examples=examples,
             stateful_step_count=STEPS,
             derandomize=is_seeded,
-            # Without shrinking a fault is told in seconds; a run by hand shrinks.
+            # Shrinking is left to runs by hand: a failure shows within seconds.
             phases=(Phase.generate,) if is_seeded else tuple(Phase),
             database=None,
             deadline=None,
@@ -432,7 +429,7 @@
 
 @pytest.fixture
 def no_log_lines():
-    """Pass no log line on: there are thousands."""
+    """Disable logging: a run writes thousands of lines."""
     logger.disable("hingepitch")
     yield
     logger.enable("hingepitch")
@@ -444,7 +441,7 @@
 
 
 def main():
-    """Run many examples, by a seed."""
+    """Run the examples and the seed given on the command line."""
     logger.disable("hingepitch")
     examples, seed = map(int, sys.argv[1:])
     hypothesis.seed(seed)(lambda: run(examples, is_seeded=False))()
--- a/tests/test_earlier_forms.py
+++ b/tests/test_earlier_forms.py
@@ -1,11 +1,11 @@
-"""Folders written by the version before logs had a checksum for each write.
-
-A rolling restart brings new code to old files: a record for each entry,
-snapshots without a checksum, an audit trail without a mark. The folders under
-`tests/data/earlier` were written by that version (`make_earlier.py`). They are
-read, carried over by what the new code adds, and stand losses of power; a trail
-that a loss tore in its middle, as the one that kept programs from starting, is
-cut behind its last record that the snapshot covers.
+"""Tests of data folders in the format before each write had a checksum.
+
+After a rolling restart, new code reads old files: one record for each entry,
+snapshots without a checksum, an audit trail without a synced position. The folders
+under `tests/data/earlier` were written by that version (`make_earlier.py`). They
+must be readable, accept new data and survive power losses. A trail torn in its
+middle once kept programs from starting; it is truncated after the last record that
+the snapshot covers.
 """
 
 import json
@@ -28,10 +28,10 @@
 SEEDS = range(3)
 CASES = pytest.mark.parametrize("case", EXPECTED)
 
-#: Of a file of the trail, in bytes, as it was when the folders were written.
+#: Largest audit file, in bytes, when the folders were written.
 MAX_FILE_BYTES = 700
 
-#: Last record of the trail `trail` that its snapshot covers, and its last one.
+#: In the folder `trail`: last audit record covered by the snapshot, and last record.
 COVERED_INDEX = 16
 LAST_INDEX = 30
 
@@ -56,7 +56,7 @@
 
 
 def check(case, storage, recovered):
-    """Compare what is recovered with what the earlier version recovered."""
+    """Compare the recovered content with what the earlier version recovered."""
     assert not storage.set_aside_reason
     assert recovered.members == MEMBERS
     assert EXPECTED[case] == {
@@ -75,15 +75,13 @@
 
 
 @CASES
-def test_an_earlier_folder_is_read_again_and_again(case, folder):
+def test_an_earlier_folder_is_read_repeatedly(case, folder):
     for _ in range(2):
         check(case, *open_folder(folder))
 
 
 @CASES
-def test_an_earlier_folder_stands_a_loss_of_power_in_every_call_of_its_opening(
-    case, folder
-):
+def test_an_earlier_folder_survives_a_power_loss_in_every_call_of_open(case, folder):
     for after in range(6):
         for seed in SEEDS:
             disk = PowerDisk(folder)
@@ -98,7 +96,9 @@
 
 @CASES
 @pytest.mark.parametrize("with_snapshot", [False, True])
-def test_what_is_added_to_an_earlier_folder_stands_a_loss(case, folder, with_snapshot):
+def test_new_data_in_an_earlier_folder_survives_a_power_loss(
+    case, folder, with_snapshot
+):
     for seed in SEEDS:
         disk = PowerDisk(folder)
         storage = Storage(folder, "c1", disk)
@@ -121,7 +121,7 @@
 
 
 @pytest.mark.parametrize("case", ["log"])
-def test_a_record_torn_at_any_byte_is_cut(case, folder):
+def test_a_record_torn_at_any_byte_is_truncated(case, folder):
     path = last_segment(folder)
     whole = path.read_bytes()
     start = whole.rindex(b"1LPH")
@@ -134,8 +134,8 @@
 
 
 @pytest.mark.parametrize("case", ["log"])
-def test_a_hole_in_front_of_whole_records_is_never_cut(case, folder):
-    """Those records do not tell whether they were one write or were synced."""
+def test_damage_before_complete_records_is_never_truncated(case, folder):
+    """Such records do not show whether they were one write, or were synced."""
     path = last_segment(folder)
     data = bytearray(path.read_bytes())
     data[30] ^= 1
@@ -148,7 +148,9 @@
 
 @pytest.mark.parametrize("case", ["log"])
 @pytest.mark.parametrize("added", [1, 2])
-def test_a_hole_in_front_of_what_the_new_code_added_is_never_cut(case, folder, added):
+def test_damage_before_records_of_the_new_version_is_never_truncated(
+    case, folder, added
+):
     path = last_segment(folder)
     old_size = len(path.read_bytes())
     storage = Storage(folder, "c1")
@@ -168,8 +170,8 @@
 
 
 @pytest.mark.parametrize("case", ["snapshot", "installed"])
-def test_a_damaged_earlier_snapshot_is_set_aside(case, folder):
-    """It has no checksum; what decodes cannot be told from what was written."""
+def test_a_damaged_earlier_snapshot_is_quarantined(case, folder):
+    """It has no checksum, so only damage that prevents decoding is detected."""
     path = next(folder.glob("snapshot-*"))
     whole = path.read_bytes()
     for size in (0, 1, len(whole) // 2, len(whole) - 1):
@@ -179,8 +181,8 @@
         assert storage.set_aside_reason
 
 
-def trail_of(folder, disk=None):
-    """Open the trail as a replica does, and write it anew from the log."""
+def open_trail(folder, disk=None):
+    """Open the trail as a replica does, and add the records of the log's entries."""
     storage, recovered = open_folder(folder, disk)
     audit = AuditTrail(folder, disk)
     audit.open(storage.snapshot.trail, storage.snapshot.index)
@@ -201,10 +203,10 @@
 
 
 @pytest.mark.parametrize("case", ["trail"])
-def test_an_earlier_trail_torn_anywhere_after_its_last_sync_shows_all(
+def test_an_earlier_trail_torn_after_its_last_sync_is_completed_from_the_log(
     case, folder, monkeypatch
 ):
-    """It tore in pieces; one that was there stood behind one that was not."""
+    """A power loss may keep a later piece of the file and lose an earlier one."""
     monkeypatch.setattr(audit_module, "MAX_FILE_BYTES", MAX_FILE_BYTES)
     whole = {path.name: path.read_bytes() for path in folder.glob("audit-*")}
     name = max(whole)
@@ -222,7 +224,7 @@
         for piece in left_of(pieces, rng):
             left[piece.offset : piece.offset + len(piece.data)] = piece.data
         (folder / name).write_bytes(left[: rng.randrange(len(left) + 1)])
-        audit = trail_of(folder)
+        audit = open_trail(folder)
         assert names(audit) == ALL_NAMES, seed
         audit.close()
         for other, data in whole.items():
@@ -230,18 +232,20 @@
 
 
 @pytest.mark.parametrize("case", ["trail"])
-def test_an_earlier_trail_gets_a_mark_and_stands_losses(case, folder, monkeypatch):
+def test_an_earlier_trail_gets_a_synced_position_and_survives_power_losses(
+    case, folder, monkeypatch
+):
     monkeypatch.setattr(audit_module, "MAX_FILE_BYTES", MAX_FILE_BYTES)
     for seed in range(20):
         disk = PowerDisk(folder)
-        audit = trail_of(folder, disk)
+        audit = open_trail(folder, disk)
         audit.flush()
         audit.file.close()
         disk.lose_power(random.Random(seed))
-        audit = trail_of(folder)
+        audit = open_trail(folder)
         assert names(audit) == ALL_NAMES, seed
         audit.close()
-    audit = trail_of(folder)
+    audit = open_trail(folder)
     mark = audit.sync()
     audit.close()
     assert mark.index == LAST_INDEX
--- a/tests/test_every_call.py
+++ b/tests/test_every_call.py
@@ -1,10 +1,10 @@
-"""A replica that loses power in every single call that changes its disk.
+"""Tests of a replica that loses power in any call that changes its disk.
 
-Control programs did not start after a loss of power in one moment out of many.
-So the calls of a start, of changes with two snapshots, and of an installed
-snapshot are counted, and the power is lost in each of them in turn, with
-several outcomes of the loss. After it the replica starts, leads, and has what
-was acknowledged; the audit trail shows each change once and in order.
+They guard against a power loss after which a replica does not start. The tests
+count the disk calls of a start, of changes with two snapshots, and of a snapshot
+install, and inject a power loss into each of them, with several outcomes. The
+replica must then start, lead and have all acknowledged changes, and the audit trail
+must show each change once and in order.
 """
 
 import time
@@ -18,22 +18,22 @@
 from standin.powerdisk import Refusal
 from tests.power_replica import PowerReplica
 
-#: Entries between two snapshots here; so a few changes lead to one.
+#: Entries between two snapshots; small, so that a few changes lead to one.
 SNAPSHOT_EVERY = 6
 CHANGES = 14
 
-#: Entries by which an installed snapshot is ahead; more than there are.
-AHEAD = 1000
+#: Index distance of an installed snapshot; more than the entries in the log.
+INSTALL_DISTANCE = 1000
 
-#: A change that cannot be written is refused within this, in seconds.
-REFUSED_SECONDS = 0.5
+#: Longest time until a change that cannot be written is refused, in seconds.
+MAX_REFUSAL_SECONDS = 0.5
 
-#: Outcomes of each loss.
+#: Seeds of the simulated outcomes of each power loss.
 SEEDS = range(2)
 
 
 @pytest.fixture(autouse=True)
-def often_a_snapshot(monkeypatch):
+def frequent_snapshots(monkeypatch):
     monkeypatch.setattr(replica_module, "SNAPSHOT_EVERY", SNAPSHOT_EVERY)
     monkeypatch.setattr(replica_module, "SNAPSHOT_EVERY_AT_MOST", SNAPSHOT_EVERY)
     monkeypatch.setattr(replica_module, "KEEP_BEHIND_SNAPSHOT", 2)
@@ -53,7 +53,7 @@
 
 
 def start(one):
-    """Start the replica; it may lose its power while it does."""
+    """Start the replica; the power may be lost during the start."""
     try:
         one.open()
     except OSError:
@@ -63,7 +63,7 @@
 
 
 def change(one):
-    """Send changes as long as there is power."""
+    """Propose changes until the power is lost."""
     for _ in range(CHANGES):
         if one.disk.has_power:
             one.relabel()
@@ -77,7 +77,7 @@
 def install(one):
     """Install a snapshot of another replica, as a follower does."""
     core = one.replica.core
-    index = core.log.last_index + AHEAD
+    index = core.log.last_index + INSTALL_DISTANCE
     state = one.replica.make_snapshot().state
     try:
         one.replica.write_in_order([Install(index, core.term, core.members, state)])
@@ -86,20 +86,20 @@
 
 
 def check(one):
-    """Start once more without trouble, and compare with what was acknowledged."""
+    """Start without faults; compare the state with the acknowledged changes."""
     one.start()
     assert not one.replica.storage.set_aside_reason
     assert one.replica.core.identity == "c1"
     assert one.missing() == []
     audited = one.audited()
     assert len(audited) >= len(one.acked)
-    assert audited == one.tried[: len(audited)]
+    assert audited == one.proposed_ids[: len(audited)]
     one.relabel()
-    assert one.acked[-1][0] == one.tried[-1]
+    assert one.acked[-1][0] == one.proposed_ids[-1]
 
 
 def lose_in_every_call(make_replica, prepare, step, verify):
-    """Lose power in each call of `step`, for each seed; return the calls."""
+    """Lose power in each disk call of `step`, for each seed; return their number."""
     counted = make_replica(0)
     prepare(counted)
     before = counted.disk.calls
@@ -114,40 +114,40 @@
             one.lose_power()
             verify(one)
             one.kill()
-            one.let_go()
+            one.close_files()
     return calls
 
 
-def test_power_is_lost_in_every_call_of_a_first_start_and_of_changes(make_replica):
+def test_power_loss_in_every_call_of_a_first_start_and_of_changes(make_replica):
     calls = lose_in_every_call(make_replica, lambda one: None, start_and_change, check)
     assert calls > 2 * CHANGES
 
 
 def prepare_a_folder(one):
-    """Leave a folder with a snapshot, entries behind it, and a loss of power."""
+    """Leave a folder with a snapshot and later entries after a power loss."""
     one.start()
     change(one)
     one.lose_power()
 
 
-def test_power_is_lost_in_every_call_of_a_start_after_a_loss(make_replica):
+def test_power_loss_in_every_call_of_a_start_after_a_power_loss(make_replica):
     calls = lose_in_every_call(make_replica, prepare_a_folder, start, check)
     assert calls > 4
 
 
 def prepare_a_follower(one):
-    """Open a folder with a snapshot and entries, without leading."""
+    """Open a folder with a snapshot and later entries as a follower."""
     prepare_a_folder(one)
     one.open()
 
 
 def check_installed(one):
-    """The installed snapshot is there whole, or all that was there before."""
+    """Check for the complete installed snapshot, or all earlier content."""
     one.open()
     assert not one.replica.storage.set_aside_reason
     snapshot = one.replica.storage.snapshot
-    if snapshot.index < AHEAD:
-        check_again(one)
+    if snapshot.index < INSTALL_DISTANCE:
+        close_and_check(one)
         return
     assert one.replica.core.log.last_index == snapshot.index
     assert one.replica.state.to_snapshot() == snapshot.state
@@ -157,28 +157,30 @@
     ]
     assert places == [len(trail) - 1]
     assert trail[-1].index == snapshot.index
-    assert [record.command_id for record in trail[:-1]] == one.tried[: len(trail) - 1]
+    assert [record.command_id for record in trail[:-1]] == one.proposed_ids[
+        : len(trail) - 1
+    ]
 
 
-def check_again(one):
-    """Close a folder that was looked at, and start it."""
-    one.let_go()
+def close_and_check(one):
+    """Close the folder, then start the replica and check it."""
+    one.close_files()
     check(one)
 
 
-def test_power_is_lost_in_every_call_of_an_install(make_replica):
+def test_power_loss_in_every_call_of_a_snapshot_install(make_replica):
     calls = lose_in_every_call(
         make_replica, prepare_a_follower, install, check_installed
     )
     assert calls > 8
 
 
-def test_what_waits_while_a_snapshot_is_refused_is_refused_at_once(make_replica):
-    """It waited out its 4 s, although it was known that nothing can be written."""
+def test_commands_are_refused_at_once_after_a_failed_snapshot(make_replica):
+    """Otherwise each command would wait for its timeout of 4 s."""
     one = make_replica(0)
     one.start()
     one.disk.refuse(Refusal(count=None, names=("rename",)))
     started = time.monotonic()
     change(one)
-    assert len(one.acked) < len(one.tried)
-    assert time.monotonic() - started < REFUSED_SECONDS
+    assert len(one.acked) < len(one.proposed_ids)
+    assert time.monotonic() - started < MAX_REFUSAL_SECONDS
--- a/tests/test_review_findings.py
+++ b/tests/test_review_findings.py
@@ -1,10 +1,9 @@
-"""What a review of the data folder found beyond the incident itself.
+"""Regression tests of the data folder and the address book.
 
-Seen: a program ended at its start because the disk refused one call while it
-founded its group, and came back outside of that group; a book of addresses that
-two greenlets saved at once was lost; bytes of great depth that no decoder
-follows ended a start. And two guards could be taken out unnoticed: the sync of
-what a start has read, and that of the folder between an identity and its log.
+They guard against a disk error during the bootstrap that leaves the replica outside
+of its group, concurrent saves that lose the address book, deeply nested data that
+ends a start, a missing sync of what a start has read, and a missing sync of the
+folder between quarantining the identity and its log.
 """
 
 import random
@@ -30,12 +29,12 @@
 
 MEMBERS = (Member("c1", "c1", "127.0.0.1:1", "h1"),)
 
-#: Nesting that no decoder follows to its end.
+#: Nesting depth that exceeds the recursion limit of the decoders.
 DEPTH = 100_000
 
 
 class SlowFile(DiskFile):
-    """A file whose writes take a while in the thread pool."""
+    """A file whose writes are slow in the thread pool."""
 
     def write(self, data):
         time.sleep(0.05)
@@ -49,8 +48,8 @@
         return SlowFile(path)
 
 
-def test_two_saves_of_the_book_at_once_leave_one_that_can_be_read(tmp_path):
-    """The announcer and the keeper of the book both learn rows."""
+def test_concurrent_saves_of_the_address_book_leave_a_readable_file(tmp_path):
+    """Two greenlets of a control learn rows and save the address book."""
     book = PeerBook([], tmp_path, SlowDisk())
     first = [MemberRow("c1", "127.0.0.1:1", True)]
     second = [MemberRow("c2", "127.0.0.1:2", True)]
@@ -64,13 +63,13 @@
 
 
 @pytest.mark.parametrize("after", range(11))
-def test_a_founding_that_the_disk_refuses_once_does_not_end_the_program(
+def test_a_disk_error_during_bootstrap_does_not_end_the_program(
     tmp_path, monkeypatch, after
 ):
-    """The founding stood outside of the loop that waits for the disk.
+    """The bootstrap is retried after a disk error.
 
-    The program ended with the error. Its next start is not the first one, does
-    not found, and took a new identity that no group knows.
+    If the program ended instead, its next start would not bootstrap again and would
+    take a new identity, which is no member of the group.
     """
     monkeypatch.setattr(founding, "FOUND_PAUSE_SECONDS", 0.01)
     folder = tmp_path / "data"
@@ -86,7 +85,7 @@
 
 
 def end(storage):
-    """Close the files as a kill does."""
+    """Close the files without flushing, as a kill does."""
     for file in (storage.segment, storage.lock_file):
         if file is not None:
             file.close()
@@ -98,8 +97,8 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_what_a_start_has_read_outlives_the_next_loss_of_power(tmp_path, seed):
-    """A replica answers for what it read, without writing it again."""
+def test_entries_read_at_a_start_survive_the_next_power_loss(tmp_path, seed):
+    """A replica relies on what it read without writing it again."""
     disk = PowerDisk(tmp_path)
     found_folder(tmp_path, "c1", MEMBERS, disk)
     storage = Storage(tmp_path, "c1", disk)
@@ -122,8 +121,8 @@
 
 @pytest.mark.parametrize("seed", range(30))
 @pytest.mark.parametrize("after", range(6))
-def test_an_identity_whose_log_was_set_aside_never_comes_back(tmp_path, after, seed):
-    """It would vote a second time, in terms in which it has voted."""
+def test_the_identity_of_a_quarantined_log_is_never_used_again(tmp_path, after, seed):
+    """Otherwise the replica could vote again in terms in which it has voted."""
     disk = PowerDisk(tmp_path)
     found_folder(tmp_path, "c1", MEMBERS, disk)
     storage = Storage(tmp_path, "c1", disk)
@@ -148,19 +147,19 @@
     end(storage)
 
 
-def test_a_line_of_any_depth_keeps_no_replica_from_starting():
+def test_a_deeply_nested_audit_line_is_unreadable():
     line = b'{"index":1,"none":' + b"[" * DEPTH + b"\n"
     assert decode_line(line) is None
 
 
-def test_a_snapshot_of_any_depth_is_damage():
+def test_a_deeply_nested_snapshot_is_damaged():
     with pytest.raises(HingepitchError) as caught:
         decode_snapshot(b"\x81\xa4none" + b"\x91" * DEPTH)
     assert caught.value.code == "storage_damaged"
 
 
-def test_a_replica_serves_again_after_a_write_that_the_disk_refused(tmp_path):
-    """It starts anew from the disk: its core is ahead of that."""
+def test_a_replica_recovers_after_a_failed_write(tmp_path):
+    """It reopens its data folder, because its core is ahead of the disk."""
     one = PowerReplica(tmp_path / "data")
     try:
         one.start()
@@ -179,7 +178,7 @@
         one.kill()
 
 
-def test_the_status_tells_of_a_log_set_aside_until_its_files_are_removed(tmp_path):
+def test_storage_reports_quarantined_files_until_they_are_removed(tmp_path):
     found_folder(tmp_path / "data", "c1", MEMBERS)
     (tmp_path / "data" / "identity").write_bytes(b"\xff\xfe")
     storage = Storage(tmp_path / "data", "c1")
--- a/tests/test_set_aside.py
+++ b/tests/test_set_aside.py
@@ -1,10 +1,10 @@
-"""A log that cannot be read is set aside, also where losses of power cut that short.
+"""Tests of the quarantine of a damaged log, also under power losses.
 
-Control programs that could not read their folder ended at each start. Such a
-folder is set aside, and the replica comes back as one that has lost its disk.
-Here the power is lost in each call of that, with several outcomes: in the end
-there is a new identity that knows nothing of the past, and each file of the old
-log is still there for the operator.
+A replica that cannot read its log must not end at each start. The log is
+quarantined, and the replica starts like one that lost its disk. The tests inject a
+power loss into each disk call of the quarantine, with several outcomes. Afterwards
+the replica must have a new identity without votes and entries, and each file of
+the old log must be kept for the operator.
 """
 
 import random
@@ -21,8 +21,8 @@
 MEMBERS = (Member("c1", "c1", "127.0.0.1:1", "h1"),)
 SEEDS = range(10)
 
-#: More than the calls of a set-aside and of the opening after it.
-CALLS = 20
+#: More than the disk calls of a quarantine and of opening the folder after it.
+MAX_CALLS = 20
 
 
 def entry(index):
@@ -30,7 +30,7 @@
 
 
 def fill(folder, snapshot_index):
-    """Write votes, entries, records of the trail and perhaps a snapshot."""
+    """Write a vote, entries, an audit record and optionally a snapshot."""
     disk = PowerDisk(folder)
     found_folder(folder, "c1", MEMBERS, disk)
     storage, audit = Storage(folder, "c1", disk), AuditTrail(folder, disk)
@@ -55,7 +55,7 @@
 
 
 def open_all(folder, disk):
-    """Open the folder as a replica does; return the storage and what it holds."""
+    """Open the folder as a replica does; return storage and recovered content."""
     storage, audit = Storage(folder, "c1", disk), AuditTrail(folder, disk)
     try:
         recovered = storage.open()
@@ -67,7 +67,7 @@
 
 
 def check(folder, kept):
-    """The replica knows nothing of the past, which is there beside it."""
+    """Check that the replica starts empty and that the files `kept` remain."""
     _, recovered = open_all(folder, PowerDisk(folder))
     assert recovered.identity.startswith("c1~")
     assert (recovered.members, recovered.entries) == ((), [])
@@ -79,9 +79,11 @@
 
 @pytest.mark.parametrize("snapshot_index", [0, 1])
 @pytest.mark.parametrize("name", ["identity", "segment-*", "snapshot-*"])
-def test_a_set_aside_that_losses_cut_short_is_finished(tmp_path, name, snapshot_index):
+def test_a_quarantine_that_losses_cut_short_is_completed(
+    tmp_path, name, snapshot_index
+):
     for seed in SEEDS:
-        for after in range(CALLS):
+        for after in range(MAX_CALLS):
             folder = tmp_path / f"data-{seed}-{after}"
             fill(folder, snapshot_index)
             damage(next(folder.glob(name)))
@@ -99,7 +101,7 @@
             assert check(folder, kept) == identity
 
 
-def test_files_of_others_are_no_log(tmp_path):
+def test_files_of_other_programs_are_not_quarantined(tmp_path):
     folder = tmp_path / "data"
     (folder / "lost+found").mkdir(parents=True)
     (folder / "peers").write_bytes(b"addresses")
@@ -118,9 +120,9 @@
     assert (folder / "notes.txt").read_bytes() == b"of the operator"
 
 
-# Guards against: a replica that votes again because its vote is gone.
+# Guards against: a replica that votes again because its earlier vote is lost.
 @pytest.mark.parametrize("gone", ["segment-*", "s*-*"])
-def test_a_folder_that_lacks_what_it_once_voted_by_is_set_aside(tmp_path, gone):
+def test_a_folder_that_lacks_what_it_once_voted_by_is_quarantined(tmp_path, gone):
     one = PowerReplica(tmp_path / "data")
     one.start()
     one.relabel()
@@ -129,10 +131,10 @@
     snapshot = one.replica.make_snapshot()
     snapshot.trail = one.replica.audit.sync()
     one.replica.storage.save_snapshot(snapshot)
-    one.let_go()
+    one.close_files()
     for path in one.folder.glob(gone):
         path.unlink()
     one.open()
     assert one.replica.storage.set_aside_reason
     assert one.replica.core.identity != "c1"
-    one.let_go()
+    one.close_files()
--- a/tests/test_slow_disk.py
+++ b/tests/test_slow_disk.py
@@ -1,7 +1,7 @@
-"""The load: the disk of the leader is slow, or hangs.
+"""Tests of a leader whose disk is slow or hangs.
 
-Its changes are committed by the others, and it is never counted among those
-that have them before its own disk has.
+The followers commit its changes, and the leader does not count itself towards the
+quorum before its own disk has written an entry.
 """
 
 from types import SimpleNamespace
@@ -33,7 +33,7 @@
 
 
 class GatedStorage:
-    """A data folder in memory whose writes wait while `gate` is closed."""
+    """Stub of `Storage` whose writes block while `gate` is not set."""
 
     def __init__(self):
         self.gate = Event()
@@ -57,7 +57,7 @@
 
 
 class Links:
-    """Keeps what would be sent."""
+    """Stub of the peer links that keeps the sent messages."""
 
     def __init__(self):
         self.sent = []
@@ -70,7 +70,7 @@
 
 
 class Group:
-    """The replica n0 of three, and what the others say to it."""
+    """The replica n0 of a group of three; the test plays the other replicas."""
 
     def __init__(self):
         self.storage = GatedStorage()
@@ -86,7 +86,7 @@
             gevent.spawn(self.replica.write_ahead),
         ]
 
-    def hear(self, kind, sender="n1", term=1, **fields):
+    def receive_message(self, kind, sender="n1", term=1, **fields):
         self.replica.receive(Message(kind, sender, "n0", term, **fields))
 
     def lead(self):
@@ -94,16 +94,16 @@
         while core.role != "pre_candidate":
             self.replica.put(Tick())
             gevent.sleep(0)
-        self.hear(MessageKind.PRE_VOTE_ANSWER, granted=True)
+        self.receive_message(MessageKind.PRE_VOTE_ANSWER, granted=True)
         assert wait_until(lambda: core.role == "candidate", SECONDS)
-        self.hear(MessageKind.VOTE_ANSWER, granted=True)
+        self.receive_message(MessageKind.VOTE_ANSWER, granted=True)
         assert wait_until(lambda: core.role == "leader", SECONDS)
         self.acknowledge("n1", 1)
         assert wait_until(lambda: core.commit_index == 1, SECONDS)
         assert wait_until(lambda: not self.replica.writer.is_behind, SECONDS)
 
     def acknowledge(self, name, index):
-        self.hear(MessageKind.APPEND_ANSWER, name, granted=True, index=index)
+        self.receive_message(MessageKind.APPEND_ANSWER, name, granted=True, index=index)
 
     def propose(self):
         envelope = Envelope(Role.DISPATCHER, "", "test", OpenRounds(()))
@@ -127,7 +127,7 @@
     return max(entry.index for message in appends for entry in message.entries)
 
 
-def test_a_change_is_committed_by_the_others_while_the_leaders_disk_hangs(group):
+def test_followers_commit_a_change_while_the_leaders_disk_hangs(group):
     group.storage.gate.clear()
     proposals = [group.propose()]
     assert wait_until(lambda: last_sent_index(group) == 2, SECONDS)
@@ -155,7 +155,7 @@
     group.storage.gate.clear()
     group.propose()
     assert wait_until(lambda: last_sent_index(group) == 2, SECONDS)
-    group.hear(MessageKind.APPEND, term=2, index=2, log_term=1)
+    group.receive_message(MessageKind.APPEND, term=2, index=2, log_term=1)
     gevent.sleep(0.1)
     assert not group.links.of(MessageKind.APPEND_ANSWER)
     group.storage.gate.set()
@@ -163,7 +163,7 @@
     assert 2 in group.storage.written
 
 
-def test_commands_gather_while_the_disk_writes(group):
+def test_commands_are_batched_while_the_disk_writes(group):
     group.storage.gate.clear()
     rounds = len(group.links.of(MessageKind.APPEND))
     for _ in range(20):
@@ -182,7 +182,7 @@
     return Entry(index, 1, EntryKind.NOTHING, b"")
 
 
-def test_what_was_written_ahead_comes_before_what_follows():
+def test_queued_entries_are_written_before_later_ones():
     events = []
     storage = GatedStorage()
     writer = LogWriter(storage, events.append)
@@ -192,7 +192,7 @@
     assert events == [Durable(2, 1)]
 
 
-def test_nothing_is_written_behind_an_entry_that_is_missing():
+def test_nothing_is_written_after_a_missing_entry():
     storage = GatedStorage()
     writer = LogWriter(storage, lambda event: None)
     storage.fails = True
--- a/tests/test_start_stays.py
+++ b/tests/test_start_stays.py
@@ -1,10 +1,9 @@
-"""A control program whose data folder cannot be used stays, and tells why.
+"""Tests that a control keeps running, and says why, if its data folder is unusable.
 
-Users saw a control end with code 1 at each start for the rest of a day, and with
-two disks lost there was no quorum without it. What was torn is cut or set aside
-since then; whatever else a start met in the data folder still ended the program,
-each second again, and nobody could ask it why. Here a record of a version that is
-not known, and errors that nobody foresaw.
+A control that ended at each start could not report the cause, and with two other
+disks lost the group had no quorum. Torn data is truncated and damaged data
+quarantined; these tests cover the rest: records of an unknown version, and
+unexpected errors.
 """
 
 import os
@@ -29,8 +28,8 @@
 SECONDS = 5
 MEMBERS = (Member("c1", "c1", "127.0.0.1:1", "h1"),)
 
-#: Type of a record that no version has written yet.
-LATER_RECORD = frame(99, b"of a later version")
+#: A record of a type that no version writes.
+UNKNOWN_RECORD = frame(99, b"of a later version")
 
 
 @pytest.fixture(autouse=True)
@@ -52,7 +51,7 @@
         StopIteration(),
     ],
 )
-# Guards against: a start that ends the program by what it meets in its folder.
+# Guards against: an error of the data folder that ends the program at its start.
 def test_a_start_outlives_any_error_of_its_data_folder(folder, monkeypatch, error):
     replica = make_replica(folder)
     errors = [error, error]
@@ -71,9 +70,9 @@
     replica.close()
 
 
-# Guards against: a vote that is lost with a state that a fault of the program
-# keeps from being read.
-def test_a_replica_votes_whatever_reading_its_state_raises(folder, monkeypatch):
+# Guards against: a replica that cannot vote because a program error keeps it from
+# reading its state.
+def test_a_replica_votes_although_its_state_cannot_be_read(folder, monkeypatch):
     replica = make_replica(folder)
     replica.open()
     snapshot = replica.make_snapshot()
@@ -91,7 +90,7 @@
     again.close()
 
 
-# Guards against: a control that answers for a state it has not read yet.
+# Guards against: a control that serves reads before it has read its state.
 def test_a_replica_that_is_not_open_knows_nothing_and_keeps_nothing(folder):
     replica = make_replica(folder)
     assert not replica.is_leader
@@ -109,8 +108,8 @@
     replica.close()
 
 
-# Guards against: a planned stop that is told as a failure while a start waits.
-def test_a_start_that_waits_can_be_stopped(folder, monkeypatch):
+# Guards against: a planned stop during a waiting start that is reported as failure.
+def test_a_waiting_start_can_be_stopped(folder, monkeypatch):
     def refuse(self, *arguments):
         raise OSError("refused")
 
@@ -128,8 +127,8 @@
     return max((site.folder / ip).glob("segment-*"))
 
 
-def folder_figures(site, ip):
-    """Return the figures `storage_failed` and `log_unread` of a control."""
+def folder_metrics(site, ip):
+    """Return the metrics `storage_failed` and `log_unread` of a control."""
     text = http_call(f"{ip}:{site.port}", "GET", "/metrics")[2].decode()
     return tuple(
         int(re.search(rf"^hingepitch_{name}{{.*}} (\d)$", text, re.MULTILINE)[1])
@@ -137,8 +136,8 @@
     )
 
 
-# Guards against: a control program that ends at each start, and cannot be asked why.
-def test_a_control_stays_while_its_folder_is_of_another_version():
+# Guards against: a control that ends at each start and cannot report the cause.
+def test_a_control_keeps_running_while_its_folder_is_of_another_version():
     with Site() as site:
         site.start()
         assert site.put_config(1) == 200
@@ -148,17 +147,17 @@
         segment = last_segment(site, ip)
         size = segment.stat().st_size
         with segment.open("ab") as file:
-            file.write(LATER_RECORD)
+            file.write(UNKNOWN_RECORD)
         process.start()
-        wait_for(lambda: site.status(ip), what="the status of the one that waits")
+        wait_for(lambda: site.status(ip), what="the status of the waiting control")
         assert "unknown record type 99" in site.status(ip)["storage_fault"]
         assert http_call(f"{ip}:{site.port}", "GET", "/healthz")[0] == 503
-        assert folder_figures(site, ip) == (1, 1)
+        assert folder_metrics(site, ip) == (1, 1)
         assert site.put_config(2) == 200
         os.truncate(segment, size)
         wait_for(lambda: not site.status(ip)["storage_fault"], what="the open folder")
-        assert folder_figures(site, ip) == (0, 0)
-        # With two others gone, nothing is answered without its vote.
+        assert folder_metrics(site, ip) == (0, 0)
+        # Without two other replicas, its vote is needed for a quorum.
         for gone in site.control_ips[3:]:
             site.process_by_ip[gone].kill()
         assert site.put_config(3) == 200
--- a/tests/test_start_waits.py
+++ b/tests/test_start_waits.py
@@ -1,10 +1,9 @@
-"""Starts that meet something in use, or a disk that refuses.
+"""Tests that a start waits while an address, data folder or disk is unusable.
 
-Looked for after programs had ended at their start, at each start: an address
-that another process still has, also the one where only figures are told, raised
-OSError in `start`; a data folder whose last process has not gone yet raised
-`folder_locked`; a disk that refuses at the very first start raised OSError while
-the group was founded. Each ended the program. What passes is waited for.
+Each of these temporary conditions used to end the program at its start: an address
+(also that of the metrics) that another process still uses, a data folder that the
+previous process still locks (`folder_locked`), and disk errors during the bootstrap
+at the first start.
 """
 
 import errno
@@ -30,8 +29,8 @@
 MEMBERS = (Member("c1", "c1", "127.0.0.1:1", "h1"),)
 
 
-class Serving(Application):
-    """A program that serves at one address."""
+class ServingProgram(Application):
+    """A program with one HTTP or RPC server."""
 
     program = "test"
 
@@ -63,9 +62,9 @@
 
 
 @pytest.mark.parametrize("make", [make_http, make_rpc])
-def test_an_address_that_is_in_use_is_waited_for(taken, make, monkeypatch):
+def test_a_start_waits_for_an_address_in_use(taken, make, monkeypatch):
     monkeypatch.setattr("hingepitch.app.LISTEN_PAUSE_SECONDS", 0.01)
-    program = Serving(lambda: make(taken))
+    program = ServingProgram(lambda: make(taken))
     running = gevent.spawn(program.run)
     gevent.sleep(0.05)
     assert not running.ready()
@@ -77,14 +76,14 @@
 
 
 def test_a_program_that_waits_for_an_address_can_be_stopped(taken):
-    program = Serving(lambda: make_http(taken))
+    program = ServingProgram(lambda: make_http(taken))
     running = gevent.spawn(program.run)
     gevent.sleep(0.05)
     program.stopping.set()
     assert running.get(timeout=SECONDS) == ExitCode.FINE
 
 
-def test_a_data_folder_that_is_in_use_is_waited_for(tmp_path, monkeypatch):
+def test_a_start_waits_for_a_data_folder_in_use(tmp_path, monkeypatch):
     monkeypatch.setattr("hingepitch.control.replica.PAUSE_AFTER_FAULT_SECONDS", 0.01)
     found_folder(tmp_path, "c1", MEMBERS)
     last = Storage(tmp_path, "c1")
@@ -99,7 +98,7 @@
     replica.close()
 
 
-def test_a_data_folder_that_stays_in_use_ends_the_start(tmp_path, monkeypatch):
+def test_a_start_fails_if_its_data_folder_stays_in_use(tmp_path, monkeypatch):
     monkeypatch.setattr("hingepitch.control.replica.PAUSE_AFTER_FAULT_SECONDS", 0.01)
     monkeypatch.setattr("hingepitch.control.replica.LOCKED_SECONDS", 0.05)
     found_folder(tmp_path, "c1", MEMBERS)
@@ -111,7 +110,7 @@
     other.close()
 
 
-def test_a_disk_that_refuses_at_the_first_start_is_waited_for(tmp_path, monkeypatch):
+def test_the_first_start_retries_after_disk_errors(tmp_path, monkeypatch):
     monkeypatch.setattr(founding, "FOUND_PAUSE_SECONDS", 0.01)
     refusals = [errno.EIO, errno.ENOSPC]
 
@@ -128,8 +127,8 @@
 
 
 @pytest.mark.parametrize("error", [RuntimeError("no thread"), OverflowError("x")])
-def test_nothing_is_written_behind_a_write_that_failed(error):
-    """A write that fails for another reason than the disk leaves a gap too."""
+def test_nothing_is_written_after_a_failed_write(error):
+    """A write that fails for a reason other than the disk leaves a gap, too."""
 
     class Store:
         def __init__(self):
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -1,4 +1,4 @@
-"""The data folder: torn tails, damage, locks, full disks, lost identities."""
+"""Tests of the data folder: torn tails, damage, locks, full disks, lost identities."""
 
 import contextlib
 import errno
@@ -16,11 +16,11 @@
 from hingepitch.error import HingepitchError
 from standin.powerdisk import PowerDisk, Refusal
 
-#: Seeds of what a loss of power leaves.
-LOSSES = range(12)
+#: Seeds of the simulated outcomes of a power loss.
+LOSS_SEEDS = range(12)
 
-#: Calls that change the disk, the removal of void files included.
-CALLS_OF_A_SNAPSHOT = 13
+#: Disk calls of writing a snapshot, including the removal of void files.
+SNAPSHOT_CALLS = 13
 
 MEMBERS = (Member("c1", "c1", "127.0.0.1:1", "h1"),)
 
@@ -51,7 +51,7 @@
     return sorted(folder.glob("segment-*"))[-1]
 
 
-def test_what_was_written_is_there(folder):
+def test_written_votes_and_entries_are_recovered(folder):
     storage, _ = open_storage(folder)
     storage.write((3, "c2"), [entry(1), entry(2)])
     storage.write(None, [entry(2, 3), entry(3, 3)])
@@ -75,8 +75,8 @@
         assert segment(folder).read_bytes() == whole
 
 
-def assert_set_aside(folder, kept):
-    """Whether the replica comes back as one that lost its disk, all files kept."""
+def assert_quarantined(folder, kept):
+    """Assert that the log is quarantined, with the files `kept`."""
     storage, recovered = open_storage(folder)
     storage.close()
     assert storage.set_aside_reason
@@ -103,7 +103,7 @@
         (folder / name).write_bytes(data)
 
 
-def test_damage_at_every_byte_of_a_middle_record_is_set_aside(folder):
+def test_damage_at_every_byte_of_a_middle_record_is_quarantined(folder):
     write_entries(folder, [entry(1)])
     start = len(segment(folder).read_bytes())
     write_entries(folder, [entry(2)])
@@ -115,10 +115,10 @@
         damaged = bytearray(whole[name])
         damaged[at] ^= 0x40
         restore(folder, {**whole, name: bytes(damaged)})
-        assert_set_aside(folder, {**whole, name: bytes(damaged)})
+        assert_quarantined(folder, {**whole, name: bytes(damaged)})
 
 
-def test_missing_segment_is_set_aside(folder):
+def test_log_with_a_missing_segment_is_quarantined(folder):
     storage, _ = open_storage(folder)
     storage.write(None, [entry(1), entry(2)])
     storage.segment_number += 1
@@ -126,7 +126,7 @@
     storage.write(None, [entry(3)])
     storage.close()
     (folder / "segment-000000000000").unlink()
-    assert_set_aside(folder, contents(folder))
+    assert_quarantined(folder, contents(folder))
 
 
 def test_second_process_is_refused(folder):
@@ -137,7 +137,7 @@
     storage.close()
 
 
-def test_full_disk_is_refused_and_survived(folder, monkeypatch):
+def test_write_to_a_full_disk_fails_and_later_writes_succeed(folder, monkeypatch):
     storage, _ = open_storage(folder)
     storage.write(None, [entry(1)])
     fdatasync = os.fdatasync
@@ -159,8 +159,8 @@
 
 
 @pytest.mark.parametrize("part", ["storage", "audit"])
-def test_no_file_is_closed_twice_when_the_next_one_is_refused(folder, part):
-    """Its number may be another file's by then: an open connection was closed."""
+def test_no_file_is_closed_twice_when_opening_the_next_one_fails(folder, part):
+    """The file descriptor may belong to an open connection by then."""
     disk = PowerDisk(folder)
     storage, audit = Storage(folder, "c1", disk), AuditTrail(folder, disk)
     storage.open()
@@ -177,8 +177,8 @@
     audit.close()
 
 
-def test_what_a_killed_program_left_unsynced_lasts_once_it_was_read(folder):
-    for seed in LOSSES:
+def test_unsynced_data_of_a_killed_program_lasts_once_it_was_read(folder):
+    for seed in LOSS_SEEDS:
         disk = PowerDisk(folder)
         storage = Storage(folder, "c1", disk)
         before = storage.open()
@@ -198,11 +198,11 @@
         assert recovered == read
 
 
-def test_power_is_lost_in_every_call_of_a_snapshot_with_entries_behind_it(folder):
+def test_power_loss_in_every_call_of_a_snapshot_with_entries_behind_it(folder):
     write_entries(folder, [entry(1), entry(2), entry(3)])
     whole = contents(folder)
-    for after in range(CALLS_OF_A_SNAPSHOT):
-        for seed in LOSSES:
+    for after in range(SNAPSHOT_CALLS):
+        for seed in LOSS_SEEDS:
             restore(folder, whole)
             disk = PowerDisk(folder)
             storage = Storage(folder, "c1", disk)
@@ -211,7 +211,7 @@
             snapshot = Snapshot(1, 1, MEMBERS, b"state")
             with contextlib.suppress(HingepitchError):
                 storage.save_snapshot(snapshot, [entry(2), entry(3)])
-            assert disk.has_power == (after == CALLS_OF_A_SNAPSHOT - 1)
+            assert disk.has_power == (after == SNAPSHOT_CALLS - 1)
             storage.close()
             disk.lose_power(random.Random(seed))
             storage = Storage(folder, "c1", PowerDisk(folder))
@@ -223,8 +223,8 @@
             assert len(recovered.entries) == 3 - recovered.snapshot_index
 
 
-def test_a_torn_write_that_left_its_begin_and_zeros_is_cut(folder):
-    """A header of zeros behind the magic was a whole record, of an unknown type."""
+def test_a_torn_write_that_left_its_begin_and_zeros_is_truncated(folder):
+    """A header of zeros after the magic number must not pass as a complete record."""
     write_entries(folder, [entry(1)])
     whole = segment(folder).read_bytes()
     for size in range(1, HEADER.size):
@@ -235,7 +235,7 @@
         assert segment(folder).read_bytes() == whole
 
 
-def test_emptied_folder_is_a_new_identity_without_members(tmp_path):
+def test_emptied_folder_gets_a_new_identity_without_members(tmp_path):
     storage, recovered = open_storage(tmp_path / "fresh")
     assert recovered.identity.startswith("c1~")
     assert recovered.members == ()
@@ -243,35 +243,35 @@
     assert open_storage(tmp_path / "fresh")[1].identity == recovered.identity
 
 
-def test_folder_is_founded_once(folder):
+def test_folder_is_bootstrapped_only_once(folder):
     with pytest.raises(HingepitchError, match="identity already"):
         found_folder(folder, "c1", MEMBERS)
 
 
-def test_log_without_identity_is_set_aside(folder):
+def test_log_without_identity_is_quarantined(folder):
     write_entries(folder, [entry(1)])
     (folder / "identity").unlink()
-    assert_set_aside(folder, contents(folder))
+    assert_quarantined(folder, contents(folder))
 
 
 @pytest.mark.parametrize("name", ["identity", f"snapshot-{0:020}"])
 @pytest.mark.parametrize("data", [b"", b"\x00" * 40, b"\xff\xfe", b"#!/bin/sh\n"])
-def test_a_file_of_another_program_is_set_aside(folder, name, data):
+def test_damaged_identity_or_snapshot_is_quarantined(folder, name, data):
     write_entries(folder, [entry(1)])
     (folder / name).write_bytes(data)
-    assert_set_aside(folder, contents(folder))
+    assert_quarantined(folder, contents(folder))
 
 
-def test_a_folder_in_which_a_log_was_set_aside_founds_no_group(folder):
+def test_folder_with_a_quarantined_log_is_not_bootstrapped(folder):
     write_entries(folder, [entry(1)])
     (folder / "identity").unlink()
-    assert_set_aside(folder, {})
+    assert_quarantined(folder, {})
     (folder / "identity").unlink()
     with pytest.raises(HingepitchError, match="identity already"):
         found_folder(folder, "c1", MEMBERS)
 
 
-def test_snapshot_bounds_the_folder(folder):
+def test_snapshots_bound_the_size_of_the_folder(folder):
     storage, _ = open_storage(folder)
     index = 0
     for _ in range(4):
@@ -325,7 +325,7 @@
     assert (recovered.term, recovered.voted_for) == (2, "c2")
 
 
-def test_what_another_version_wrote_is_refused_and_left_alone(folder):
+def test_records_of_another_version_are_refused_and_left_unchanged(folder):
     write_entries(folder, [entry(1)])
     with open(segment(folder), "ab") as file:
         file.write(frame(77, b"of a later version"))
