--- a/hingepitch/control/audit.py
+++ b/hingepitch/control/audit.py
@@ -273,16 +273,16 @@
         """Yield all records; one record stands for each range that cannot be read."""
         last = 0
         paths = self.paths()
-        is_broken = bool(paths) and file_number(paths[0]) > 0
+        has_gap = bool(paths) and file_number(paths[0]) > 0
         for record in map(decode_line, self.all_lines()):
             if record is None:
-                is_broken = True
+                has_gap = True
                 continue
-            if is_broken:
+            if has_gap:
                 yield make_missing_record(last, record.index - 1)
             yield record
-            last, is_broken = record.index, False
-        if is_broken:
+            last, has_gap = record.index, False
+        if has_gap:
             yield make_missing_record(last, self.last_index)
 
     def all_lines(self):
--- a/hingepitch/control/snapshot.py
+++ b/hingepitch/control/snapshot.py
@@ -68,9 +68,9 @@
     or `storage_unknown` if the checksum is correct: another version wrote it.
     """
     record = read_frame(data)
-    is_whole = record is not None and record[0] == SNAPSHOT_RECORD
+    is_intact = record is not None and record[0] == SNAPSHOT_RECORD
     try:
-        return SNAPSHOT_DECODER.decode(record[1] if is_whole else data)
+        return SNAPSHOT_DECODER.decode(record[1] if is_intact else data)
     except (msgspec.MsgspecError, RecursionError) as error:
-        code = "storage_unknown" if is_whole else "storage_damaged"
+        code = "storage_unknown" if is_intact else "storage_damaged"
         raise HingepitchError(code, f"cannot decode the snapshot: {error}") from None
--- a/tests/test_disk_states.py
+++ b/tests/test_disk_states.py
@@ -335,7 +335,7 @@
         return Entry(index, term, EntryKind.COMMAND, payload + bytes([37]) * size)
 
     def nested_record(self):
-        """Return an old log record to embed in a payload, or nothing for some entries."""
+        """Return an old log record to embed in some payloads, otherwise nothing."""
         if self.count % 2 or self.storage.sequence < 2:
             return b""
         return b" " * 4096 + encode_batch(Batch(self.storage.sequence - 1, None, ()))
