--- a/hingepitch/admin/program.py
+++ b/hingepitch/admin/program.py
@@ -67,14 +67,14 @@
         print(f"{document['kind']} {document['name']}: version {outcome['version']}")
     if wait:
         return report_in_force(client, version)
-    return ExitCode.FINE
+    return ExitCode.SUCCESS
 
 
 def report_in_force(client, version):
     """Wait until a version is in force; print the result, return the exit code."""
     if client.wait_in_force(version):
         print(f"version {version} is in force everywhere")
-        return ExitCode.FINE
+        return ExitCode.SUCCESS
     print(f"version {version} is not in force everywhere yet")
     return ExitCode.FAILED
 
@@ -88,7 +88,7 @@
     """
     outcome = open_client(settings).command(delete=[kind, name])
     print(f"{kind} {name}: deleted at version {outcome['version']}")
-    return ExitCode.FINE
+    return ExitCode.SUCCESS
 
 
 def cancel(*names: str, settings: str = DEFAULT_SETTINGS):
@@ -99,7 +99,7 @@
     """
     outcome = open_client(settings).command(cancel=list(names))
     print(f"cancelled at version {outcome['version']}")
-    return ExitCode.FINE
+    return ExitCode.SUCCESS
 
 
 def get(
@@ -118,7 +118,7 @@
     else:
         rows = client.call("GET", f"/v1/objects/{kind}")
     print_rows(rows, json, COLUMNS_BY_KIND.get(kind, ()))
-    return ExitCode.FINE
+    return ExitCode.SUCCESS
 
 
 def claims(*, settings: str = DEFAULT_SETTINGS, json: bool = False):
@@ -130,7 +130,7 @@
     rows = open_client(settings).call("GET", "/v1/objects/claim")
     open_rows = [row for row in rows if row["state"] == "open"]
     print_rows(open_rows, json, COLUMNS_BY_KIND["claim"])
-    return ExitCode.FINE
+    return ExitCode.SUCCESS
 
 
 def status(*, settings: str = DEFAULT_SETTINGS, json: bool = False):
@@ -147,7 +147,7 @@
         newest = max(leaders, key=lambda row: row["term"])
         halls = ", ".join(newest["halls_that_may_go"]) or "none"
         print(f"losses left: {newest['losses_left']}; halls that may be lost: {halls}")
-    return ExitCode.FINE if leaders else ExitCode.FAILED
+    return ExitCode.SUCCESS if leaders else ExitCode.FAILED
 
 
 def replica_status(client, address):
@@ -181,7 +181,7 @@
         print(obstacle)
     if not answer["obstacles"]:
         print(f"no obstacles for {kind} {name} found")
-    return ExitCode.FINE
+    return ExitCode.SUCCESS
 
 
 def audit(
@@ -218,7 +218,7 @@
     rows = merge_trails(trails)
     columns = ("index", "at_seconds", "partner", "operator", "command", "name", "code")
     print_rows(rows, json, columns)
-    return ExitCode.FINE
+    return ExitCode.SUCCESS
 
 
 def watch(*, after: int = 0, changes: int = 0, settings: str = DEFAULT_SETTINGS):
@@ -237,7 +237,7 @@
             print_line(change)
             printed += 1
             if printed == changes:
-                return ExitCode.FINE
+                return ExitCode.SUCCESS
         time.sleep(0.05)
 
 
@@ -267,7 +267,7 @@
         client.call("POST", "/v1/members", body)
     answer = client.call("GET", "/v1/members")
     print_rows(answer["members"])
-    return ExitCode.FINE
+    return ExitCode.SUCCESS
 
 
 COMMANDS = {
--- a/hingepitch/app.py
+++ b/hingepitch/app.py
@@ -18,7 +18,7 @@
 
 from hingepitch import __version__
 from hingepitch.error import ExitCode, HingepitchError
-from hingepitch.log import configure_log, log_event, make_log_buffer, place_of
+from hingepitch.log import configure_log, log_event, make_log_buffer, source_location
 from hingepitch.metric import Metrics
 from hingepitch.setting import load_settings
 from hingepitch.supervisor import Supervisor
@@ -26,7 +26,7 @@
 __all__ = ["Application", "run_daemon", "run_logged"]
 
 #: Pause before an address that is in use is tried again, in seconds.
-LISTEN_PAUSE_SECONDS = 0.2
+LISTEN_RETRY_SECONDS = 0.2
 
 
 class Application:
@@ -41,7 +41,7 @@
 
     def __init__(self, settings):
         self.settings = settings
-        self.exit_code = ExitCode.FINE
+        self.exit_code = ExitCode.SUCCESS
         self.stopping = Event()
         self.supervisor = Supervisor(self.give_up)
 
@@ -97,7 +97,7 @@
             self.start()
             log_event("started", name=self.settings.name, version=__version__)
             self.stopping.wait()
-            if self.exit_code == ExitCode.FINE:
+            if self.exit_code == ExitCode.SUCCESS:
                 log_event("draining", name=self.settings.name)
                 self.drain()
         except HingepitchError as error:
@@ -106,7 +106,7 @@
             self.exit_code = ExitCode.FAILED
         except Exception as error:
             # The traceback that follows has no time, no program and no fields.
-            log_event("program_failed", error=repr(error), at=place_of(error))
+            log_event("program_failed", error=repr(error), at=source_location(error))
             raise
         finally:
             self.supervisor.stop()
@@ -118,7 +118,7 @@
 def keep_trying(server):
     """Have `server` listen; return once it does."""
     while not server.is_listening:
-        gevent.sleep(LISTEN_PAUSE_SECONDS)
+        gevent.sleep(LISTEN_RETRY_SECONDS)
         with suppress(OSError):  # Logged when it was met first.
             server.start()
     log_event("address_taken", address=server.address)
@@ -136,7 +136,7 @@
         return ExitCode.BAD_SETTINGS
     if check:
         print(f"{settings_path}: fine")
-        return ExitCode.FINE
+        return ExitCode.SUCCESS
     return run_logged(application(settings), sys.stderr)
 
 
--- a/hingepitch/control/bootstrap.py
+++ b/hingepitch/control/bootstrap.py
@@ -8,7 +8,7 @@
 :license: BSD, see LICENSE for details.
 """
 
-from hingepitch.control.storage import found_folder
+from hingepitch.control.storage import bootstrap_folder
 from hingepitch.error import HingepitchError
 from hingepitch.log import log_event
 
@@ -25,7 +25,7 @@
     longer the first one, so the replica would join as a new replica.
 
     `founding`
-        The arguments of `found_folder`.
+        The arguments of `bootstrap_folder`.
     `stopping`
         Event that ends the retries.
 
@@ -33,7 +33,7 @@
     """
     while True:
         try:
-            found_folder(*founding)
+            bootstrap_folder(*founding)
             return
         except HingepitchError:
             return  # An earlier start has already bootstrapped the folder.
--- a/hingepitch/control/healing.py
+++ b/hingepitch/control/healing.py
@@ -18,7 +18,7 @@
 from hingepitch.error import HingepitchError
 from hingepitch.jobs.question import JoinGroup, MemberRow, encode
 from hingepitch.log import log_event
-from hingepitch.peerbook import decode_rows
+from hingepitch.peerregistry import decode_members
 from hingepitch.setting import check_address
 
 __all__ = ["GroupReconciler", "GroupView", "next_members"]
@@ -180,7 +180,9 @@
         member = self.self_member
         request = JoinGroup(identity, member.name, member.address, member.hall)
         try:
-            self.book.learn(decode_rows(self.group.call_once("ask", encode(request))))
+            self.book.update_rows(
+                decode_members(self.group.call_once("ask", encode(request)))
+            )
         except HingepitchError as error:
             log_event(
                 "peer_unreachable", address=self.group.preferred, error=error.code
--- a/hingepitch/control/peer.py
+++ b/hingepitch/control/peer.py
@@ -17,7 +17,7 @@
 from hingepitch.control.message import Entry, EntryKind, Message, MessageKind
 from hingepitch.error import HingepitchError
 from hingepitch.gen.control.ttypes import LogEntry, PeerMessage
-from hingepitch.log import log_event, place_of
+from hingepitch.log import log_event, source_location
 from hingepitch.rpc import ControlClient
 
 __all__ = ["PeerLinks", "from_wire", "to_wire"]
@@ -185,7 +185,10 @@
             self.deliver(link, batch)
         except Exception as error:
             log_event(
-                "child_failed", child="link", error=repr(error), at=place_of(error)
+                "child_failed",
+                child="link",
+                error=repr(error),
+                at=source_location(error),
             )
             gevent.sleep(PAUSE_AFTER_FAILURE_SECONDS)
 
--- a/hingepitch/control/replica.py
+++ b/hingepitch/control/replica.py
@@ -16,7 +16,7 @@
 from gevent.event import AsyncResult, Event
 
 from hingepitch.clock import lease_seconds, wall_seconds
-from hingepitch.control.admission import Admission, Waiting
+from hingepitch.control.admission import Admission, PendingCommand
 from hingepitch.control.audit import AuditRecord
 from hingepitch.control.consensus import Consensus
 from hingepitch.control.membership import encode_members
@@ -49,7 +49,7 @@
 from hingepitch.control.snapshot import Snapshot
 from hingepitch.control.writer import LogWriter
 from hingepitch.error import HingepitchError
-from hingepitch.log import log_event, place_of
+from hingepitch.log import log_event, source_location
 from hingepitch.model.apply import apply, is_resend, object_of
 from hingepitch.model.codec import decode_envelope, encode_envelope, to_plain
 from hingepitch.model.command import Role
@@ -181,7 +181,7 @@
                     raise
                 self.note_storage_fault(error)
             except Exception as error:
-                self.note_storage_fault(f"{error!r} at {place_of(error)}")
+                self.note_storage_fault(f"{error!r} at {source_location(error)}")
             self.close()
             stopping.wait(PAUSE_AFTER_FAULT_SECONDS)
             self.recreate_stores()
@@ -189,8 +189,8 @@
 
     def recreate_stores(self):
         """Replace the storage and the audit trail by new unopened objects."""
-        self.storage = self.storage.anew()
-        self.audit = self.audit.anew()
+        self.storage = self.storage.unopened_copy()
+        self.audit = self.audit.unopened_copy()
 
     def load_snapshot(self, snapshot):
         """Load the state of `snapshot`; an unreadable one stays on the disk."""
@@ -318,7 +318,7 @@
         stamped = replace(envelope, at_seconds=wall_seconds())
         result = AsyncResult()
         lane = envelope.partner or envelope.role.value
-        self.admission.put(lane, Waiting(encode_envelope(stamped), result))
+        self.admission.put(lane, PendingCommand(encode_envelope(stamped), result))
         self.arrived.set()
         return self.wait_for(result, PROPOSE_SECONDS)
 
--- a/hingepitch/durable.py
+++ b/hingepitch/durable.py
@@ -10,10 +10,10 @@
 
 import gevent
 
-__all__ = ["run_off_loop", "write_whole"]
+__all__ = ["run_in_thread", "write_atomic"]
 
 
-def write_whole(disk, path, data):
+def write_atomic(disk, path, data):
     """Write `data` to `path` so that it is there whole or not at all."""
     temporary = path.with_name("." + path.name)
     file = disk.open(temporary)
@@ -27,7 +27,7 @@
     disk.sync_folder(path.parent)
 
 
-def run_off_loop(function, *arguments):
+def run_in_thread(function, *arguments):
     """Run a blocking function in the thread pool; raise its OSError here."""
     error = gevent.get_hub().threadpool.apply(catch_os_error, (function, arguments))
     if error is not None:
--- a/hingepitch/entry/caller.py
+++ b/hingepitch/entry/caller.py
@@ -11,7 +11,7 @@
 from hingepitch.clock import lease_seconds
 from hingepitch.error import HingepitchError
 from hingepitch.httpd import make_api, set_problem
-from hingepitch.request import Answer, Priority, Request, Run
+from hingepitch.request import Answer, Execution, Priority, Request
 
 __all__ = ["CallerApi"]
 
@@ -54,7 +54,7 @@
             request = self.read_request(req, service, started)
         except HingepitchError as error:
             self.count(service, error.code)
-            set_problem(resp, error, Run.NOT_RUN.value)
+            set_problem(resp, error, Execution.NOT_RUN.value)
             return
         result = self.proxy.handle(request)
         self.metrics.observe(
--- a/hingepitch/entry/claim.py
+++ b/hingepitch/entry/claim.py
@@ -18,7 +18,7 @@
 from hingepitch.log import log_event
 from hingepitch.model.command import CloseClaim, Envelope, OpenClaim, ReleaseClaim, Role
 from hingepitch.model.record import ClaimState
-from hingepitch.request import Answer, Failure, Run
+from hingepitch.request import Answer, Execution, Failure
 
 __all__ = ["Claimer", "digest_of"]
 
@@ -67,24 +67,29 @@
         except HingepitchError as error:
             gevent.spawn(self.take_back, command, command_id)
             return Failure(
-                "no_leader", Run.NOT_RUN, f"no claim: {error.code}", RETRY_AFTER_MS
+                "no_leader",
+                Execution.NOT_RUN,
+                f"no claim: {error.code}",
+                RETRY_AFTER_MS,
             )
         if outcome.accepted:
             return outcome.claim
         if outcome.claim and outcome.claim.state is ClaimState.ANSWERED:
             return self.recorded_answer(outcome.claim)
         if outcome.code == "key_in_progress":
-            run, retry = Run.UNKNOWN, RETRY_AFTER_MS
+            run, retry = Execution.UNKNOWN, RETRY_AFTER_MS
         elif outcome.code == "queue_full":
-            run, retry = Run.NOT_RUN, LONG_RETRY_AFTER_MS
+            run, retry = Execution.NOT_RUN, LONG_RETRY_AFTER_MS
         else:
-            run, retry = Run.UNKNOWN, None
+            run, retry = Execution.UNKNOWN, None
         return Failure(outcome.code, run, outcome.detail, retry)
 
     def recorded_answer(self, claim):
         """Return the answer that was recorded for a claim."""
         if claim.body is None:
-            return Failure("key_unknown", Run.UNKNOWN, "it ran; the answer is not kept")
+            return Failure(
+                "key_unknown", Execution.UNKNOWN, "it ran; the answer is not kept"
+            )
         headers = [("Hingepitch-Replayed", "true")]
         if claim.content_type:
             headers.append(("Content-Type", claim.content_type))
--- a/hingepitch/entry/limit.py
+++ b/hingepitch/entry/limit.py
@@ -18,7 +18,7 @@
 from gevent.event import AsyncResult
 
 from hingepitch.clock import lease_seconds
-from hingepitch.request import Failure, Run
+from hingepitch.request import Execution, Failure
 
 __all__ = ["RetryBudget", "SlotQueue"]
 
@@ -176,7 +176,7 @@
 
     def overloaded(self, detail):
         """Return the `Failure` of a request that is refused."""
-        return Failure("overloaded", Run.NOT_RUN, detail, self.retry_after_ms())
+        return Failure("overloaded", Execution.NOT_RUN, detail, self.retry_after_ms())
 
     def retry_after_ms(self):
         """Return when to come back, spread so that a wave does not return."""
--- a/hingepitch/entry/proxy.py
+++ b/hingepitch/entry/proxy.py
@@ -14,7 +14,7 @@
 from hingepitch.entry.limit import MIN_QUEUE, QUEUE_PER_SLOT, RetryBudget, SlotQueue
 from hingepitch.exchange import MinionConnections
 from hingepitch.model.record import VmLifecycle
-from hingepitch.request import Answer, Failure, Run
+from hingepitch.request import Answer, Execution, Failure
 
 __all__ = ["Proxy"]
 
@@ -105,16 +105,16 @@
     def refusal(self, service, request):
         """Return a `Failure` for a request that is not even begun, or None."""
         if not self.follower.has_lease():
-            return Failure("no_lease", Run.NOT_RUN, "", NO_LEASE_RETRY_MS)
+            return Failure("no_lease", Execution.NOT_RUN, "", NO_LEASE_RETRY_MS)
         if service is None:
-            return Failure("unknown_service", Run.NOT_RUN, request.service)
+            return Failure("unknown_service", Execution.NOT_RUN, request.service)
         if len(request.body) > service.max_body_bytes:
-            return Failure("body_too_large", Run.NOT_RUN)
+            return Failure("body_too_large", Execution.NOT_RUN)
         desk = self.desk(service.name)
         if desk.in_flight >= service.connections:
             return desk.queue.overloaded("all connections are in use")
         if not self.balancer.has_minion(service):
-            return Failure("no_minion", Run.NOT_RUN, "", NO_MINION_RETRY_MS)
+            return Failure("no_minion", Execution.NOT_RUN, "", NO_MINION_RETRY_MS)
         return None
 
     def send_repeatable(self, desk, request):
@@ -146,8 +146,8 @@
         """
         if isinstance(second, Failure) and isinstance(first, Answer):
             return first
-        if isinstance(second, Failure) and first.run is Run.UNKNOWN:
-            return replace(second, run=Run.UNKNOWN)
+        if isinstance(second, Failure) and first.run is Execution.UNKNOWN:
+            return replace(second, run=Execution.UNKNOWN)
         return second
 
     def send_avoiding(self, desk, request, avoid):
@@ -174,7 +174,7 @@
         result = self.send_once(desk, request)
         if isinstance(result, Answer):
             self.claimer.close(claim, result, request.deadline - lease_seconds())
-        elif result.run is Run.NOT_RUN:
+        elif result.run is Execution.NOT_RUN:
             self.claimer.release(claim)
         return result
 
@@ -189,7 +189,7 @@
             self.connections_by_address[address] = connections
         try:
             if not self.follower.has_lease():
-                return Failure("no_lease", Run.NOT_RUN, "", NO_LEASE_RETRY_MS)
+                return Failure("no_lease", Execution.NOT_RUN, "", NO_LEASE_RETRY_MS)
             result = connections.exchange(request)
             self.learn(health, result, service)
             return result
@@ -208,6 +208,6 @@
     """Whether a try failed before a byte was handed to a socket."""
     return (
         isinstance(result, Failure)
-        and result.run is Run.NOT_RUN
+        and result.run is Execution.NOT_RUN
         and result.code == "minion_failed"
     )
--- a/hingepitch/error.py
+++ b/hingepitch/error.py
@@ -16,7 +16,7 @@
 class ExitCode:
     """Exit codes of every program."""
 
-    FINE = 0
+    SUCCESS = 0
     FAILED = 1
     BAD_SETTINGS = 2
     BROKEN_INVARIANT = 3
--- a/hingepitch/exchange.py
+++ b/hingepitch/exchange.py
@@ -17,8 +17,8 @@
 
 from hingepitch.clock import lease_seconds
 from hingepitch.httpd import check_framing, split_header_block
-from hingepitch.patch import poll_at_once
-from hingepitch.request import Answer, Failure, Run
+from hingepitch.patch import unpatched_poll
+from hingepitch.request import Answer, Execution, Failure
 
 __all__ = ["MinionConnections"]
 
@@ -159,11 +159,11 @@
         try:
             sock = self.take()
         except OSError as error:
-            return Failure("minion_failed", Run.NOT_RUN, f"connect: {error}")
+            return Failure("minion_failed", Execution.NOT_RUN, f"connect: {error}")
         seconds = request.deadline - lease_seconds()
         if seconds <= 0:
             self.give_back(sock)
-            return Failure("deadline_passed", Run.NOT_RUN)
+            return Failure("deadline_passed", Execution.NOT_RUN)
         try:
             with gevent.Timeout(seconds):
                 return self.send_and_receive(sock, request)
@@ -171,10 +171,10 @@
             sock.close()
             # All open connections may have gone silent, while new ones work.
             self.close()
-            return Failure("deadline_passed", Run.UNKNOWN, "no answer in time")
+            return Failure("deadline_passed", Execution.UNKNOWN, "no answer in time")
         except (OSError, ValueError, BrokenAnswer) as error:
             sock.close()
-            return Failure("minion_failed", Run.UNKNOWN, str(error))
+            return Failure("minion_failed", Execution.UNKNOWN, str(error))
         except BaseException:
             sock.close()
             raise
@@ -241,6 +241,6 @@
 
 def is_readable(sock):
     """Whether anything, also an end, has come on an idle connection."""
-    poll = poll_at_once()
+    poll = unpatched_poll()
     poll.register(sock.fileno(), POLLIN | POLLHUP)
     return bool(poll.poll(0))
--- a/hingepitch/jobs/session.py
+++ b/hingepitch/jobs/session.py
@@ -43,7 +43,7 @@
 from hingepitch.jobs.spec import format_task
 from hingepitch.jobs.upkeep import UpkeepController
 from hingepitch.jobs.watch import RunWatch
-from hingepitch.log import log_event, place_of
+from hingepitch.log import log_event, source_location
 from hingepitch.model.command import Envelope, Role
 
 __all__ = ["Session"]
@@ -372,7 +372,9 @@
             return function(*arguments)
         except Exception as error:
             self.gauge.note_failure(name)
-            log_event("child_failed", child=name, error=repr(error), at=place_of(error))
+            log_event(
+                "child_failed", child=name, error=repr(error), at=source_location(error)
+            )
             return None
 
     def note_end(self, greenlet):
@@ -381,7 +383,10 @@
         if not greenlet.successful():
             error = greenlet.exception
             log_event(
-                "child_failed", child="session", error=repr(error), at=place_of(error)
+                "child_failed",
+                child="session",
+                error=repr(error),
+                at=source_location(error),
             )
             self.is_over = self.has_failed = True
             self.woken.set()
--- a/hingepitch/load/program.py
+++ b/hingepitch/load/program.py
@@ -54,7 +54,7 @@
     if report:
         with open(report, "w", encoding="utf-8") as file:
             json.dump(document, file, indent=2)
-    return ExitCode.FINE
+    return ExitCode.SUCCESS
 
 
 def print_report(document):
@@ -77,7 +77,7 @@
         if isinstance(value, (int, float)) and value and key in second:
             print(f"  {key.ljust(20)} {value} -> {second[key]}", end="")
             print(f"  x{second[key] / value:.2f}")
-    return ExitCode.FINE
+    return ExitCode.SUCCESS
 
 
 def main():
--- a/hingepitch/log.py
+++ b/hingepitch/log.py
@@ -23,7 +23,7 @@
     "format_pairs",
     "log_event",
     "make_log_buffer",
-    "place_of",
+    "source_location",
 ]
 
 #: Folder of the product in the names of its source files.
@@ -141,7 +141,7 @@
     logger.log(EVENTS[event], "{}", format_pairs({"event": event, **pairs}))
 
 
-def place_of(error):
+def source_location(error):
     """Return the file and line where `error` was raised in the product."""
     frames = traceback.extract_tb(error.__traceback__)
     own = [frame for frame in frames if PACKAGE in frame.filename] or frames
--- a/hingepitch/logsink.py
+++ b/hingepitch/logsink.py
@@ -16,13 +16,13 @@
 import gevent
 
 from hingepitch.clock import lease_seconds
-from hingepitch.patch import poll_at_once
+from hingepitch.patch import unpatched_poll
 
 __all__ = ["EventLimit", "LineBuffer"]
 
 #: Lines that the stream has not taken are kept up to this size, in bytes, about a
 #: second of lines under full load; later ones are dropped and counted.
-MAX_KEPT_BYTES = 262_144
+MAX_BUFFERED_BYTES = 262_144
 
 #: Bytes in one write: a pipe that is writable takes as many without blocking
 #: (PIPE_BUF).
@@ -84,14 +84,14 @@
         Function: called with the number of lines that were dropped.
     """
 
-    def __init__(self, stream, note_drops, max_bytes=MAX_KEPT_BYTES):
+    def __init__(self, stream, note_drops, max_bytes=MAX_BUFFERED_BYTES):
         self.fd = stream.fileno()
         self.note_drops = note_drops
         self.max_bytes = max_bytes
         self.lines = deque()
         self.size = 0
         self.dropped = 0
-        self.poll = poll_at_once()
+        self.poll = unpatched_poll()
         self.poll.register(self.fd, POLLOUT)
 
     def write(self, line):
--- a/hingepitch/model/validation.py
+++ b/hingepitch/model/validation.py
@@ -16,7 +16,7 @@
 from hingepitch.error import HingepitchError
 from hingepitch.model import command as commands
 from hingepitch.model.selector import parse_selector
-from hingepitch.setting import Name, validate_faults
+from hingepitch.setting import Name, format_validation_errors
 
 __all__ = ["FORM_BY_KIND", "parse_object"]
 
@@ -150,4 +150,6 @@
     try:
         return FORM_BY_KIND[document["kind"]].model_validate(fields).to_command()
     except ValidationError as error:
-        raise HingepitchError("bad_object", "\n".join(validate_faults(error))) from None
+        raise HingepitchError(
+            "bad_object", "\n".join(format_validation_errors(error))
+        ) from None
--- a/hingepitch/peerbook.py
+++ b/hingepitch/peerregistry.py
@@ -1,6 +1,6 @@
 """
-hingepitch.peerbook
-~~~~~~~~~~~~~~~~~~~
+hingepitch.peerregistry
+~~~~~~~~~~~~~~~~~~~~~~~
 
 The addresses of the control replicas: learnt, passed on, remembered.
 
@@ -15,13 +15,13 @@
 from gevent.lock import BoundedSemaphore
 
 from hingepitch.disk import Disk
-from hingepitch.durable import run_off_loop, write_whole
+from hingepitch.durable import run_in_thread, write_atomic
 from hingepitch.error import HingepitchError
 from hingepitch.jobs.question import AskMembers, MemberRow, encode
 from hingepitch.log import log_event
 from hingepitch.setting import check_address
 
-__all__ = ["PeerBook", "decode_rows"]
+__all__ = ["PeerRegistry", "decode_members"]
 
 #: How often the members are asked for, in seconds.
 REFRESH_SECONDS = 2.0
@@ -30,7 +30,7 @@
 ROWS_DECODER = msgspec.msgpack.Decoder(list[MemberRow])
 
 
-def decode_rows(answer):
+def decode_members(answer):
     """Return the list of `MemberRow` of an answer; raise `bad_request`.
 
     Those that cannot be called are left out.
@@ -54,7 +54,7 @@
     return True
 
 
-class PeerBook:
+class PeerRegistry:
     """Where the control replicas take calls.
 
     `seeds`
@@ -77,7 +77,7 @@
         if self.path is None or not self.path.exists():
             return
         try:
-            self.rows = decode_rows(self.path.read_bytes())
+            self.rows = decode_members(self.path.read_bytes())
         except (OSError, HingepitchError) as error:
             log_event("storage_failed", file=FILE_NAME, error=error)
 
@@ -91,7 +91,7 @@
             (row.address for row in self.rows if row.identity == identity), None
         )
 
-    def learn(self, rows):
+    def update_rows(self, rows):
         """Take over newer rows, and remember them."""
         if not rows:
             return
@@ -109,11 +109,11 @@
         try:
             # The announcer learns rows too; both would write the same file.
             with self.lock:
-                run_off_loop(write_whole, self.disk, self.path, encode(self.rows))
+                run_in_thread(write_atomic, self.disk, self.path, encode(self.rows))
         except OSError as error:
             log_event("storage_failed", file=FILE_NAME, error=error)
 
-    def keep_fresh(self, *groups):
+    def refresh_forever(self, *groups):
         """Ask the first of `groups` for the members, again and again.
 
         All of `groups` get the addresses.
@@ -122,7 +122,7 @@
             asked = groups[0].preferred
             try:
                 answer = groups[0].call_once("ask", encode(AskMembers()))
-                self.learn(decode_rows(answer))
+                self.update_rows(decode_members(answer))
             except HingepitchError as error:
                 log_event("peer_unreachable", address=asked, error=error.code)
             for group in groups:
--- a/hingepitch/request.py
+++ b/hingepitch/request.py
@@ -11,10 +11,10 @@
 import enum
 from dataclasses import dataclass, field
 
-__all__ = ["Answer", "Failure", "Priority", "Request", "Run"]
+__all__ = ["Answer", "Failure", "Priority", "Request", "Execution"]
 
 
-class Run(enum.Enum):
+class Execution(enum.Enum):
     """What a caller may believe of a request without an answer."""
 
     NOT_RUN = "not_run"
@@ -73,6 +73,6 @@
     """
 
     code: str
-    run: Run
+    run: Execution
     detail: str = ""
     retry_after_ms: int | None = None
--- a/hingepitch/setting.py
+++ b/hingepitch/setting.py
@@ -27,7 +27,7 @@
     "hash_token",
     "load_settings",
     "parse_address",
-    "validate_faults",
+    "format_validation_errors",
 ]
 
 #: What a YAML file raises that cannot be read: ValueError and AttributeError come
@@ -109,7 +109,7 @@
     return path.lstrip(".") or "(file)"
 
 
-def validate_faults(error):
+def format_validation_errors(error):
     """Yield one line for each fault of a pydantic ValidationError."""
     for fault in error.errors():
         message = fault["msg"].removeprefix("Value error, ")
@@ -130,5 +130,5 @@
         return model.model_validate(document)
     except ValidationError as error:
         raise HingepitchError(
-            "bad_settings", "\n".join(validate_faults(error))
+            "bad_settings", "\n".join(format_validation_errors(error))
         ) from None
--- a/hingepitch/supervisor.py
+++ b/hingepitch/supervisor.py
@@ -14,7 +14,7 @@
 
 from hingepitch.clock import lease_seconds
 from hingepitch.error import HingepitchError
-from hingepitch.log import log_event, place_of
+from hingepitch.log import log_event, source_location
 
 __all__ = ["Supervisor"]
 
@@ -107,7 +107,7 @@
             child=child.name,
             failures=child.failures,
             error=repr(error),
-            at=place_of(error),
+            at=source_location(error),
         )
         broken = isinstance(error, HingepitchError) and error.code in BROKEN_CODES
         if broken or child.failures == self.max_failures:
--- a/standin/bench.py
+++ b/standin/bench.py
@@ -23,7 +23,7 @@
 from hdrh.histogram import HdrHistogram
 
 from hingepitch.control.message import Entry, EntryKind, Member
-from hingepitch.control.storage import Storage, found_folder
+from hingepitch.control.storage import Storage, bootstrap_folder
 from hingepitch.exchange import MinionConnections
 from hingepitch.group import GroupClient
 from hingepitch.load.generator import LoadTest
@@ -166,7 +166,7 @@
 def local_append(count):
     """Return the loop of one synced append after another, one replica."""
     with tempfile.TemporaryDirectory(prefix="hingepitch-") as folder:
-        found_folder(folder, "c1", (Member("c1", "c1", "127.0.0.1:1", "h"),))
+        bootstrap_folder(folder, "c1", (Member("c1", "c1", "127.0.0.1:1", "h"),))
         storage = Storage(folder, "c1")
         storage.open()
         index = iter(range(1, count + 2))
--- a/standin/capacity.py
+++ b/standin/capacity.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 
 from hingepitch.control.message import Entry, EntryKind, Member
-from hingepitch.control.storage import Storage, found_folder
+from hingepitch.control.storage import Storage, bootstrap_folder
 from hingepitch.log import configure_log
 from hingepitch.model import command as commands
 from hingepitch.model.apply import apply
@@ -166,7 +166,7 @@
     seconds, sizes = [], []
     for count in BACKLOGS:
         with tempfile.TemporaryDirectory(prefix="hingepitch-") as folder:
-            found_folder(folder, "c1", (Member("c1", "c1", "127.0.0.1:1", "h"),))
+            bootstrap_folder(folder, "c1", (Member("c1", "c1", "127.0.0.1:1", "h"),))
             storage = Storage(folder, "c1")
             storage.open()
             entries = [
--- a/standin/faults.py
+++ b/standin/faults.py
@@ -118,13 +118,13 @@
         (
             (
                 "exchange.py",
-                'return Failure("minion_failed", Run.UNKNOWN, str(error))',
-                'return Failure("minion_failed", Run.NOT_RUN, str(error))',
+                'return Failure("minion_failed", Execution.UNKNOWN, str(error))',
+                'return Failure("minion_failed", Execution.NOT_RUN, str(error))',
             ),
             (
                 "exchange.py",
-                'return Failure("deadline_passed", Run.UNKNOWN, "no answer in time")',
-                'return Failure("deadline_passed", Run.NOT_RUN, "no answer in time")',
+                'return Failure("deadline_passed", Execution.UNKNOWN, "no answer in time")',
+                'return Failure("deadline_passed", Execution.NOT_RUN, "no answer in time")',
             ),
         ),
         "minions_are_lost",
@@ -249,7 +249,7 @@
         (
             (
                 "control/storage.py",
-                'identity = f"{self.name}{NEWCOMER_MARK}{uuid.uuid4().hex[:8]}"',
+                'identity = f"{self.name}{IDENTITY_SEPARATOR}{uuid.uuid4().hex[:8]}"',
                 "identity = self.name",
             ),
         ),
@@ -479,7 +479,7 @@
         "log",
         "the log is flushed after each line",
         (("app.py", "log_level, buffer.write)", "log_level, buffer)"),)
-        + (("logsink.py", "poll_at_once()", '__import__("select").poll()'),),
+        + (("logsink.py", "unpatched_poll()", '__import__("select").poll()'),),
         "log_line_lets_no_other",
     ),
     Fault(
@@ -693,7 +693,7 @@
         (
             (
                 "control/storage.py",
-                "        run_off_loop(self.segment.sync)",
+                "        run_in_thread(self.segment.sync)",
                 "        pass",
             ),
         ),
@@ -729,9 +729,9 @@
         (
             (
                 "control/storage.py",
-                "            self.put_aside(IDENTITY_NAME)\n"
+                "            self.quarantine_file(IDENTITY_NAME)\n"
                 "            self.disk.sync_folder(self.folder)\n",
-                "            self.put_aside(IDENTITY_NAME)\n",
+                "            self.quarantine_file(IDENTITY_NAME)\n",
             ),
         ),
         SET_ASIDE,
@@ -803,8 +803,8 @@
             ),
             (
                 "control/storage.py",
-                "            run_off_loop(write_whole, self.disk, path, data)\n",
-                "            run_off_loop(write_whole, self.disk, path, data)\n"
+                "            run_in_thread(write_atomic, self.disk, path, data)\n",
+                "            run_in_thread(write_atomic, self.disk, path, data)\n"
                 "            self.write(self.vote, entries)\n",
             ),
         ),
@@ -831,7 +831,13 @@
     Fault(
         "durable",
         "a torn tail stays",
-        (("control/storage.py", "        self.cut(path, end)", "        pass"),),
+        (
+            (
+                "control/storage.py",
+                "        self.truncate_file(path, end)",
+                "        pass",
+            ),
+        ),
         ON_A_DISK_WITH_TROUBLES,
     ),
     Fault(
@@ -874,7 +880,7 @@
     Fault(
         "durable",
         "the audit trail is not synced before its mark is written",
-        (("control/audit.py", "        run_off_loop(self.file.sync)\n", ""),),
+        (("control/audit.py", "        run_in_thread(self.file.sync)\n", ""),),
         ON_A_DISK_WITH_TROUBLES,
     ),
     Fault(
--- a/tests/switch_program.py
+++ b/tests/switch_program.py
@@ -21,13 +21,13 @@
 from hingepitch.app import run_logged
 from hingepitch.exchange import MinionConnections
 from hingepitch.log import log_event
-from hingepitch.logsink import MAX_KEPT_BYTES
+from hingepitch.logsink import MAX_BUFFERED_BYTES
 from hingepitch.metric import Metrics
 
 LINES = 600
 
 #: More than a pipe and the buffer take, in characters.
-LONG = "x" * (2 * MAX_KEPT_BYTES // LINES)
+LONG = "x" * (2 * MAX_BUFFERED_BYTES // LINES)
 
 #: Bytes of one read of a slow reader, and its pause in seconds.
 SLOW_READ_BYTES = 512
@@ -101,7 +101,7 @@
 
 def read_all(source):
     """Read all that comes, as it comes."""
-    while nb_read(source, MAX_KEPT_BYTES):
+    while nb_read(source, MAX_BUFFERED_BYTES):
         pass
 
 
--- a/tests/test_child_failures.py
+++ b/tests/test_child_failures.py
@@ -58,7 +58,7 @@
     assert not running.ready()
     assert program.runs >= MANY
     program.stopping.set()
-    assert running.get(timeout=SECONDS) == ExitCode.FINE
+    assert running.get(timeout=SECONDS) == ExitCode.SUCCESS
 
 
 def test_the_status_names_the_children_that_fail():
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -13,7 +13,7 @@
 from hingepitch.metric import Metrics
 from hingepitch.model.record import Service, Vm, VmLifecycle
 from hingepitch.model.state import State
-from hingepitch.request import Answer, Failure, Priority, Request, Run
+from hingepitch.request import Answer, Execution, Failure, Priority, Request
 
 
 class FakeMinion:
@@ -89,7 +89,7 @@
     fake = minion((0.2, answer(b"late")), (answer(b"own"),))
     connections = MinionConnections(fake.address)
     late = connections.exchange(request(seconds=0.05))
-    assert (late.code, late.run) == ("deadline_passed", Run.UNKNOWN)
+    assert (late.code, late.run) == ("deadline_passed", Execution.UNKNOWN)
     assert connections.exchange(request()).body == b"own"
     assert fake.connections == 2
 
@@ -123,7 +123,7 @@
 )
 def test_answer_that_is_not_whole_is_a_failure_and_unknown(minion, script):
     result = MinionConnections(minion(script).address).exchange(request())
-    assert (result.code, result.run) == ("minion_failed", Run.UNKNOWN)
+    assert (result.code, result.run) == ("minion_failed", Execution.UNKNOWN)
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
@@ -137,7 +137,7 @@
     fake = minion()
     fake.server.stop(timeout=0)
     result = MinionConnections(fake.address).exchange(request())
-    assert (result.code, result.run) == ("minion_failed", Run.NOT_RUN)
+    assert (result.code, result.run) == ("minion_failed", Execution.NOT_RUN)
 
 
 # The whole way, with fake minions.
@@ -190,22 +190,22 @@
     fakes = [minion((None,)), minion((None,))]
     proxy = make_proxy(fakes, repeatable=False)
     result = proxy.handle(request(method="POST"))
-    assert result.run is Run.UNKNOWN
+    assert result.run is Execution.UNKNOWN
     assert sum(len(fake.requests) for fake in fakes) == 1
 
 
 def test_refused_retry_does_not_hide_that_the_first_try_ran():
-    first = Failure("minion_failed", Run.UNKNOWN)
-    second = Failure("overloaded", Run.NOT_RUN)
+    first = Failure("minion_failed", Execution.UNKNOWN)
+    second = Failure("overloaded", Execution.NOT_RUN)
     proxy = make_proxy([])
-    assert proxy.better(first, second).run is Run.UNKNOWN
+    assert proxy.better(first, second).run is Execution.UNKNOWN
 
 
 def test_entry_without_a_lease_takes_nothing(minion):
     proxy = make_proxy([minion((answer(b"x"),))])
     proxy.follower.lease = False
     result = proxy.handle(request())
-    assert (result.code, result.run) == ("no_lease", Run.NOT_RUN)
+    assert (result.code, result.run) == ("no_lease", Execution.NOT_RUN)
     assert result.retry_after_ms
 
 
@@ -257,7 +257,7 @@
     assert wait_until(lambda: queue.waiting == 1, 2)
     urgent = gevent.spawn(queue.acquire, request(0.05, priority=Priority.URGENT))
     shed = batch.get(timeout=1)
-    assert (shed.code, shed.run) == ("overloaded", Run.NOT_RUN)
+    assert (shed.code, shed.run) == ("overloaded", Execution.NOT_RUN)
     assert shed.retry_after_ms >= 100
     refused = queue.acquire(request(priority=Priority.NORMAL))
     assert refused.code == "overloaded"
--- a/tests/test_frame.py
+++ b/tests/test_frame.py
@@ -6,9 +6,9 @@
 
 from hingepitch.admin import client as admin_client
 from hingepitch.admin.client import AdminClient, AdminSettings
-from hingepitch.control.admission import Admission, Waiting
+from hingepitch.control.admission import Admission, PendingCommand
 from hingepitch.control.member import losses_left
-from hingepitch.control.roster import Roster
+from hingepitch.control.roster import EntryRoster
 from hingepitch.error import HingepitchError
 from hingepitch.group import TRANSIENT_CODES, GroupClient, may_resend
 from hingepitch.model.command import Envelope, PutPool, Role
@@ -68,51 +68,51 @@
 def test_neither_partner_starves_the_other():
     admission = Admission()
     for number in range(100):
-        admission.put("left", Waiting(b"left", number))
-    admission.put("right", Waiting(b"right", 0))
+        admission.put("left", PendingCommand(b"left", number))
+    admission.put("right", PendingCommand(b"right", 0))
     assert b"right" in [waiting.payload for waiting in admission.take(4)]
 
 
 def test_full_lane_refuses_at_once_and_only_its_partner():
     admission = Admission(max_waiting=2)
     for _ in range(2):
-        admission.put("left", Waiting(b"", None))
+        admission.put("left", PendingCommand(b"", None))
     with pytest.raises(HingepitchError) as caught:
-        admission.put("left", Waiting(b"", None))
+        admission.put("left", PendingCommand(b"", None))
     assert caught.value.code == "queue_full"
     assert caught.value.retry_after_ms
-    admission.put("right", Waiting(b"", None))
+    admission.put("right", PendingCommand(b"", None))
 
 
 def test_turns_go_round():
     admission = Admission()
     for _ in range(3):
         for lane in ("left", "right", "planner"):
-            admission.put(lane, Waiting(lane, None))
+            admission.put(lane, PendingCommand(lane, None))
     order = [admission.take(1)[0].payload for _ in range(6)]
     assert order == ["left", "right", "planner", "left", "right", "planner"]
 
 
 def test_new_leader_waits_for_the_leases_of_its_predecessor():
-    roster = Roster(lease_seconds=3.0)
+    roster = EntryRoster(lease_seconds=3.0)
     roster.take_over(100.0)
     assert not roster.is_in_force(["e1"], 5, 102.0)
     assert roster.is_in_force(["e1"], 5, 103.2)
-    roster.note("e1", 5, {})
+    roster.record_report("e1", 5, {})
     roster.grant("e1", 103.2)
     assert roster.is_in_force(["e1"], 5, 103.3)
     assert not roster.is_in_force(["e1"], 6, 103.3)
 
 
 def test_drain_waits_for_the_longest_request_of_a_lapsed_entry():
-    roster = Roster(lease_seconds=3.0)
+    roster = EntryRoster(lease_seconds=3.0)
     roster.take_over(100.0)
     assert not roster.is_drained(["e1"], "v", 5, 104.0, 2.0)
     assert roster.is_drained(["e1"], "v", 5, 105.2, 2.0)
-    roster.note("e1", 5, {"v": 1})
+    roster.record_report("e1", 5, {"v": 1})
     roster.grant("e1", 106.0)
     assert not roster.is_drained(["e1"], "v", 5, 106.1, 2.0)
-    roster.note("e1", 5, {})
+    roster.record_report("e1", 5, {})
     assert roster.is_drained(["e1"], "v", 5, 106.1, 2.0)
 
 
--- a/tests/test_install_in_a_batch.py
+++ b/tests/test_install_in_a_batch.py
@@ -17,7 +17,7 @@
     MessageKind,
     Receive,
 )
-from hingepitch.control.storage import found_folder
+from hingepitch.control.storage import bootstrap_folder
 from hingepitch.model.codec import encode_envelope
 from hingepitch.model.command import Envelope, PutPool, Role
 from tests.lone_replica import make_replica
@@ -37,7 +37,7 @@
 
 @pytest.fixture
 def follower(tmp_path):
-    found_folder(tmp_path / "data", "c2", MEMBERS)
+    bootstrap_folder(tmp_path / "data", "c2", MEMBERS)
     replica = make_replica(tmp_path / "data", "c2")
     replica.open()
     yield replica
--- a/tests/test_other_writers.py
+++ b/tests/test_malformed_messages.py
@@ -23,7 +23,7 @@
 from hingepitch.jobs.contact import ReplyKind
 from hingepitch.jobs.record import JobStatus
 from hingepitch.jobs.spec import Step
-from hingepitch.peerbook import decode_rows
+from hingepitch.peerregistry import decode_members
 from hingepitch.request import Answer
 from standin.taskminion import TaskMinion
 from tests.memory_minion import MemoryMinion
@@ -272,6 +272,6 @@
 @given(data=st.binary())
 def test_any_members_are_read_or_a_typed_error(data):
     try:
-        decode_rows(data)
+        decode_members(data)
     except HingepitchError as error:
         assert error.code == "bad_request"
--- a/tests/test_peer_words.py
+++ b/tests/test_peer_words.py
@@ -29,7 +29,7 @@
 from hingepitch.httpd import wait_until
 from hingepitch.jobs.question import JoinGroup, MemberRow, encode
 from hingepitch.model.codec import decode_changes, decode_outcome
-from hingepitch.peerbook import PeerBook, decode_rows
+from hingepitch.peerregistry import PeerRegistry, decode_members
 from hingepitch.rpc import ControlClient
 
 SECONDS = 5
@@ -86,12 +86,12 @@
 
 def test_members_at_what_is_no_address_are_not_called():
     rows = [MemberRow("a", NO_ADDRESS, True), MemberRow("b", "10.0.0.2:1", False)]
-    assert decode_rows(encode(rows)) == rows[1:]
+    assert decode_members(encode(rows)) == rows[1:]
 
 
 def test_a_book_whose_rows_cannot_be_called_leaves_the_settings(tmp_path):
     (tmp_path / "peers").write_bytes(encode([MemberRow("a", NO_ADDRESS, True)]))
-    book = PeerBook(["10.0.0.1:7060"], tmp_path)
+    book = PeerRegistry(["10.0.0.1:7060"], tmp_path)
     book.load()
     assert book.addresses() == ["10.0.0.1:7060"]
 
@@ -99,10 +99,10 @@
 def test_a_book_that_is_nested_without_end_leaves_the_settings(tmp_path):
     row = b"\x91\x84\xa1x" + DEEP
     (tmp_path / "peers").write_bytes(row)
-    book = PeerBook(["10.0.0.1:7060"], tmp_path)
+    book = PeerRegistry(["10.0.0.1:7060"], tmp_path)
     book.load()
     assert book.addresses() == ["10.0.0.1:7060"]
-    assert_refused("bad_request", decode_rows, row)
+    assert_refused("bad_request", decode_members, row)
 
 
 def test_a_newcomer_that_cannot_be_called_does_not_join():
@@ -110,10 +110,10 @@
         is_leader=True,
         core=SimpleNamespace(term=1, members=(), leader="a"),
     )
-    keeper = GroupReconciler(replica, None, None, None, 3)
+    reconciler = GroupReconciler(replica, None, None, None, 3)
     question = JoinGroup("b~1", "b", NO_ADDRESS, "h")
-    assert_refused("bad_request", keeper.register_applicant, question)
-    assert keeper.applicant_by_identity == {}
+    assert_refused("bad_request", reconciler.register_applicant, question)
+    assert reconciler.applicant_by_identity == {}
 
 
 # Answers.
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -34,7 +34,7 @@
     for _ in range(losses):
         one.start()
         for _ in range(CHANGES):
-            one.relabel()
+            one.propose_vm()
         one.lose_power()
     one.start()
 
@@ -43,11 +43,11 @@
     for seed in SEEDS:
         one = make_replica(seed)
         change_and_lose_power(one, losses=3)
-        assert one.missing() == [], seed
+        assert one.missing_vms() == [], seed
 
 
 def test_the_audit_trail_shows_each_change_once_after_a_loss(make_replica):
     for seed in SEEDS:
         one = make_replica(seed)
         change_and_lose_power(one, losses=2)
-        assert one.audited() == [name for name, _ in one.acked], seed
+        assert one.audited_ids() == [name for name, _ in one.acked], seed
--- a/tests/test_silent_minion.py
+++ b/tests/test_silent_minion.py
@@ -28,7 +28,7 @@
 from hingepitch.jobs.contact import PollResult, Reply, ReplyKind
 from hingepitch.jobs.record import RunResult
 from hingepitch.jobs.spec import Step
-from hingepitch.request import Failure, Request, Run
+from hingepitch.request import Execution, Failure, Request
 from tests.memory_minion import MemoryMinion
 from tests.test_dispatch import SECONDS, Rig
 from tests.test_job_rules import make_minion, task
@@ -199,7 +199,7 @@
     began = lease_seconds()
     with gevent.Timeout(SECONDS):
         answer = connections.exchange(request)
-    assert isinstance(answer, Failure) and answer.run is Run.NOT_RUN
+    assert isinstance(answer, Failure) and answer.run is Execution.NOT_RUN
     assert lease_seconds() - began < 2 * exchange_module.MAX_CONNECT_SECONDS
 
 
--- a/tests/test_unread_entry.py
+++ b/tests/test_unread_entry.py
@@ -18,12 +18,12 @@
 import pytest
 from gevent.event import AsyncResult
 
-from hingepitch.control.admission import Waiting
+from hingepitch.control.admission import PendingCommand
 from hingepitch.control.audit import AuditTrail
 from hingepitch.control.handler import ControlHandler
 from hingepitch.control.message import Member, Message, MessageKind, Tick
 from hingepitch.control.replica import Replica
-from hingepitch.control.storage import Storage, found_folder
+from hingepitch.control.storage import Storage, bootstrap_folder
 from hingepitch.error import HingepitchError
 from hingepitch.httpd import wait_until
 from hingepitch.model import codec
@@ -95,7 +95,7 @@
         self.next_transfer = 0
         self.node_by_name = {}
         for name, kind in kind_by_name.items():
-            found_folder(folder / name, name, members)
+            bootstrap_folder(folder / name, name, members)
             self.start(name, kind)
 
     def start(self, name, kind=Replica):
@@ -240,7 +240,7 @@
     group = make_group(a=Replica, b=Replica, c=Replica)
     leader = group.lead("a")
     for payload in (b"\xc1", b"\x78\x9c", b"\x91" * 100_000):
-        leader.admission.put("lane", Waiting(payload, AsyncResult()))
+        leader.admission.put("lane", PendingCommand(payload, AsyncResult()))
     leader.arrived.set()
     group.wait(lambda: all(node.replica.unread for node in group.node_by_name.values()))
     assert all(node.is_running for node in group.node_by_name.values())
