--- a/hingepitch/app.py
+++ b/hingepitch/app.py
@@ -2,7 +2,7 @@
 hingepitch.app
 ~~~~~~~~~~~~~~
 
-The application object: life-cycle hooks, signals, exit code.
+Base class of the daemons: life-cycle hooks, signals, exit code.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -25,7 +25,7 @@
 
 __all__ = ["Application", "run_daemon", "run_logged"]
 
-#: Pause before an address that is in use is tried again, in seconds.
+#: Pause before a listen address that is in use is tried again, in seconds.
 LISTEN_PAUSE_SECONDS = 0.2
 
 
@@ -43,48 +43,52 @@
         self.settings = settings
         self.exit_code = ExitCode.FINE
         self.stopping = Event()
-        self.supervisor = Supervisor(self.give_up)
+        self.supervisor = Supervisor(self.stop_process)
 
     def setup(self):
-        """Make the parts; nothing runs yet."""
+        """Create the components without starting them."""
 
     def start(self):
-        """Start the children under the supervisor."""
+        """Start the supervised children."""
 
     def listen(self, name, server):
-        """Have `server` listen, as soon as its address is free.
+        """Start `server`, or retry in the background while its address is in use.
 
-        The process that had it may not have gone yet. Ended by that, a program
-        would take its other parts along: votes, leases, answers.
+        A previous process may still hold the address. Exiting for that would
+        also end the program's other functions: votes, leases, answers.
         """
         try:
             server.start()
         except OSError as error:
             log_event("address_refused", server=name, error=error)
-            self.supervisor.start(f"{name} address", partial(keep_trying, server))
+            self.supervisor.start(f"{name} address", partial(retry_listening, server))
 
     def drain(self):
-        """Take no new work and finish what is in flight."""
+        """Refuse new work and finish what is in flight."""
 
     def stop(self):
-        """Release what `setup` took."""
+        """Release the resources taken by `setup` and `start`."""
 
     def make_metrics(self):
-        """Return the `Metrics` of this program, which count its failing children."""
+        """Return `Metrics` of this program with a gauge of its failing children."""
         metrics = Metrics(self.program)
         metrics.probes.append(partial(self.measure_children, metrics))
         return metrics
 
     def measure_children(self, metrics):
-        """Set the figure of the children that fail."""
+        """Set the gauge of the failing children."""
         metrics.set(
             "children_failing",
             "Children that failed lately and are started again.",
             len(self.supervisor.failing),
         )
 
-    def give_up(self, broken):
-        """Stop the process because a child cannot be started again."""
+    def stop_process(self, broken):
+        """Stop the process because a child failed for good.
+
+        `broken`
+            Whether the state that the process holds must not be used any more.
+        """
         self.exit_code = ExitCode.BROKEN_INVARIANT if broken else ExitCode.FAILED
         self.stopping.set()
 
@@ -105,7 +109,7 @@
             print(error, file=sys.stderr)
             self.exit_code = ExitCode.FAILED
         except Exception as error:
-            # The traceback that follows has no time, no program and no fields.
+            # The traceback printed later has no time, program name or fields.
             log_event("program_failed", error=repr(error), at=place_of(error))
             raise
         finally:
@@ -115,11 +119,11 @@
         return self.exit_code
 
 
-def keep_trying(server):
-    """Have `server` listen; return once it does."""
+def retry_listening(server):
+    """Retry to start `server`; return once it listens."""
     while not server.is_listening:
         gevent.sleep(LISTEN_PAUSE_SECONDS)
-        with suppress(OSError):  # Logged when it was met first.
+        with suppress(OSError):  # Logged by `Application.listen`.
             server.start()
     log_event("address_taken", address=server.address)
 
@@ -127,7 +131,7 @@
 def run_daemon(application, model, settings_path, check):
     """Load the settings and run `application`; return the exit code.
 
-    With `check`, only say whether the settings are valid.
+    With `check`, only report whether the settings are valid.
     """
     try:
         settings = load_settings(model, settings_path)
@@ -144,7 +148,7 @@
     """Run `application` with its log lines on `stream`; return the exit code."""
     buffer = make_log_buffer(stream)
     configure_log(application.program, application.settings.log_level, buffer.write)
-    # Errors that nobody catches are written by the hub, which would block.
+    # The hub prints uncaught errors; a write to standard error would block.
     gevent.get_hub().exception_stream = buffer
     flusher = gevent.spawn(buffer.keep_flushing)
     try:
--- a/hingepitch/cmdline.py
+++ b/hingepitch/cmdline.py
@@ -2,7 +2,7 @@
 hingepitch.cmdline
 ~~~~~~~~~~~~~~~~~~
 
-What the command lines of all programs share.
+Command line handling shared by all programs.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -18,12 +18,12 @@
 
 
 def run_command(commands, name):
-    """Parse the command line for `commands` and exit with what they return.
+    """Run `commands` by the command line; exit with the code they return.
 
     `commands`
-        One function, or a mapping of sub-command names to functions.
+        A function, or a mapping from subcommand names to functions.
     `name`
-        The name of the program.
+        Name of the program.
     """
     if "--version" in sys.argv[1:]:
         print(f"{name} {__version__}")
--- a/hingepitch/disk.py
+++ b/hingepitch/disk.py
@@ -2,7 +2,7 @@
 hingepitch.disk
 ~~~~~~~~~~~~~~~
 
-The calls of the file system that write to a data folder, in one place.
+File system operations that write to a data folder.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -16,15 +16,15 @@
 
 
 class DiskFile:
-    """A file that grows at its end.
+    """An append-only file.
 
-    Each `write` is one call of the system: until the next `sync` a loss of
-    power may leave it, tear it or take it, whatever became of those before.
+    Each `write` is one system call. Until the next `sync`, a power loss may
+    keep, tear or drop each write, independently of earlier ones.
 
     `path`
-        Path of the file; made if it does not exist.
+        Path of the file; created if it does not exist.
     `size`
-        Its present size, in bytes.
+        Current size in bytes.
     """
 
     def __init__(self, path):
@@ -34,7 +34,7 @@
         self.size = os.fstat(self.descriptor).st_size
 
     def write(self, data):
-        """Append `data`; return how many of its bytes were taken."""
+        """Append `data`; return the number of bytes written."""
         count = os.write(self.descriptor, data)
         self.size += count
         return count
@@ -46,28 +46,28 @@
             view = view[self.write(view) :]
 
     def sync(self):
-        """Make what was written durable."""
+        """Make all writes durable."""
         os.fdatasync(self.descriptor)
 
     def truncate(self, size):
-        """Cut the file to `size` bytes; durable with the next sync."""
+        """Truncate the file to `size` bytes; durable after the next sync."""
         os.ftruncate(self.descriptor, size)
         self.size = size
 
     def close(self):
-        """Close the file; what was not synced may still be lost."""
+        """Close the file; writes without a sync may still be lost."""
         os.close(self.descriptor)
 
 
 class Disk:
-    """The file system, as far as a data folder needs it.
+    """File system operations that a data folder needs.
 
-    A stand-in with the same calls keeps no more than what a sync covers.
-    Errors are those of the system (`OSError`).
+    Tests replace it by a stub that drops writes that no sync covers. Methods
+    raise `OSError`.
     """
 
     def open(self, path):
-        """Return the `DiskFile` at `path`, made if it does not exist."""
+        """Return the `DiskFile` at `path`, created if it does not exist."""
         return DiskFile(path)
 
     def rename(self, old, new):
@@ -79,7 +79,7 @@
         os.unlink(path)
 
     def sync_folder(self, path):
-        """Make the names in the folder `path` durable."""
+        """Make the directory entries of the folder `path` durable."""
         descriptor = os.open(path, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(descriptor)
--- a/hingepitch/durable.py
+++ b/hingepitch/durable.py
@@ -2,7 +2,7 @@
 hingepitch.durable
 ~~~~~~~~~~~~~~~~~~
 
-Files that are whole after a loss of power, or as they were before.
+Atomic file writes that survive power loss, and blocking calls in threads.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -14,7 +14,10 @@
 
 
 def write_whole(disk, path, data):
-    """Write `data` to `path` so that it is there whole or not at all."""
+    """Write `data` to `path` atomically and durably.
+
+    After a power loss, the file has either its old or its new content.
+    """
     temporary = path.with_name("." + path.name)
     file = disk.open(temporary)
     try:
@@ -28,14 +31,14 @@
 
 
 def run_off_loop(function, *arguments):
-    """Run a blocking function in the thread pool; raise its OSError here."""
+    """Run a blocking function in gevent's thread pool; raise its OSError."""
     error = gevent.get_hub().threadpool.apply(catch_os_error, (function, arguments))
     if error is not None:
         raise error
 
 
 def catch_os_error(function, arguments):
-    """Return the OSError of a call as a value: the pool would print it."""
+    """Return the OSError of a call; raised, the thread pool would print it."""
     try:
         function(*arguments)
     except OSError as error:
--- a/hingepitch/entry/balance.py
+++ b/hingepitch/entry/balance.py
@@ -2,8 +2,8 @@
 hingepitch.entry.balance
 ~~~~~~~~~~~~~~~~~~~~~~~~
 
-Choice of a minion: limits that adapt, ejection of outliers, slow
-start, own hall first.
+Load balancing over minions: adaptive concurrency limits, outlier
+ejection, slow start, preference for the entry's own hall.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -17,30 +17,32 @@
 
 __all__ = ["Balancer", "MinionHealth"]
 
-#: Failures in a row after which a minion is left out for a while.
+#: Consecutive failures after which a minion is ejected.
 EJECT_AFTER = 3
 FIRST_EJECTION_SECONDS = 0.5
-LONGEST_EJECTION_SECONDS = 20.0
+MAX_EJECTION_SECONDS = 20.0
 
-#: With a larger part of the minions ejected, ejection is ignored.
-PANIC_PART = 0.5
+#: If fewer than this fraction of the minions are not ejected, ejections are
+#: ignored.
+PANIC_FRACTION = 0.5
 
-#: Another hall is used when the own hall has less than this part free.
-LOADED_PART = 0.8
+#: Minions of other halls are used too when the requests in flight reach this
+#: fraction of the own hall's limits.
+LOADED_FRACTION = 0.8
 
 SUCCESS_WEIGHT = 0.1
 SLOW_START_LIMIT = 1
-SHRINK = 0.7
+LIMIT_DECREASE_FACTOR = 0.7
 
 
 @dataclass(slots=True)
 class MinionHealth:
-    """What an entry has seen of one minion of one service.
+    """Health of one minion of one service, as observed by this entry.
 
     `limit`
-        Requests in flight that it seems to bear; at most the declared slots.
+        Adaptive limit of requests in flight; at most the declared slots.
     `success`
-        Share of good answers, weighted to the last ones.
+        Success rate, as an exponentially weighted moving average.
     """
 
     limit: float
@@ -51,40 +53,40 @@
     ejected_until: float = 0.0
 
     def is_ejected(self, now):
-        """Whether the minion is left out at `now`."""
+        """Whether the minion is ejected at `now`."""
         return now < self.ejected_until
 
-    def has_room(self):
-        """Whether one more request may be sent."""
+    def has_free_slot(self):
+        """Whether the limit allows another request."""
         return self.in_flight < max(1, int(self.limit))
 
     def cost(self):
-        """Return a number that is higher for worse choices.
+        """Return the cost of choosing this minion; lower is better.
 
-        Dividing by the share of good answers keeps a minion that fails
-        everything fast from attracting traffic by its empty queue.
+        The division by the success rate keeps a minion that fails every
+        request quickly, and so has few in flight, from attracting traffic.
         """
         return (self.in_flight + 1) / max(0.02, self.success)
 
     def note_success(self, slots):
-        """Learn from a good answer."""
+        """Record a successful request and raise the limit."""
         self.failures_in_row = 0
         self.ejections_in_row = 0
         self.success += SUCCESS_WEIGHT * (1 - self.success)
         self.limit = min(slots, self.limit + 1 / max(1.0, self.limit))
 
     def note_failure(self, now):
-        """Learn from a failed request."""
+        """Record a failed request, lower the limit and eject if due."""
         self.failures_in_row += 1
         self.success -= SUCCESS_WEIGHT * self.success
-        self.limit = max(1.0, self.limit * SHRINK)
+        self.limit = max(1.0, self.limit * LIMIT_DECREASE_FACTOR)
         if self.failures_in_row >= EJECT_AFTER:
             self.eject(now)
 
     def eject(self, now):
-        """Leave the minion out, longer each time; then start slowly."""
+        """Eject the minion with exponential backoff, then use slow start."""
         doubled = FIRST_EJECTION_SECONDS * 2**self.ejections_in_row
-        self.ejected_until = now + min(doubled, LONGEST_EJECTION_SECONDS)
+        self.ejected_until = now + min(doubled, MAX_EJECTION_SECONDS)
         self.ejections_in_row = min(self.ejections_in_row + 1, 16)
         self.failures_in_row = EJECT_AFTER - 1
         self.limit = SLOW_START_LIMIT
@@ -92,7 +94,7 @@
 
 @dataclass(slots=True)
 class ServiceHealth:
-    """The minions of one service."""
+    """Health of the minions of one service."""
 
     health_by_vm: dict[str, MinionHealth] = field(default_factory=dict)
 
@@ -101,12 +103,12 @@
     """Chooses minions for requests.
 
     `state`
-        Function: the followed state.
+        Function: returns the replicated state.
     `hall`
         The hall of this entry.
     `is_live_by_platform`
-        Function from a VM's name: False if the platform's list says that
-        the VM is leaving. It can only take VMs away.
+        Function from a VM's name: False if the platform lists the VM as
+        leaving. It only excludes VMs.
     `seed`
         Seed of the random choices.
     """
@@ -120,7 +122,7 @@
         self.live_by_service = {}
 
     def health(self, service, vm_name):
-        """Return what is known of one minion."""
+        """Return the `MinionHealth` of one minion, created on first use."""
         known = self.health_by_service.setdefault(service.name, ServiceHealth())
         health = known.health_by_vm.get(vm_name)
         if health is None:
@@ -128,7 +130,7 @@
         return health
 
     def live_minions(self, service):
-        """Return the live VMs of a service, by the state as it is now."""
+        """Return `(vm, health)` of the live VMs of a service, cached by version."""
         state = self.state()
         version, live = self.live_by_service.get(service.name, (-1, ()))
         if version != state.version:
@@ -141,45 +143,45 @@
         return live
 
     def candidates(self, service, avoid=()):
-        """Yield `(vm, health)` of the minions that may take a request."""
+        """Yield `(vm, health)` of the minions that may get a request."""
         for vm, health in self.live_minions(service):
             if vm.name not in avoid and self.is_live_by_platform(vm.name):
                 yield vm, health
 
     def choose(self, service, avoid=()):
-        """Return `(vm, health)` of a minion with room, or None.
+        """Return `(vm, health)` of a minion with a free slot, or None.
 
         The caller must count the request in `health.in_flight`.
         """
         live = list(self.candidates(service, avoid))
         now = lease_seconds()
         good = [pair for pair in live if not pair[1].is_ejected(now)]
-        if len(good) < len(live) * PANIC_PART:
+        if len(good) < len(live) * PANIC_FRACTION:
             good = live
-        free = [pair for pair in good if pair[1].has_room()]
+        free = [pair for pair in good if pair[1].has_free_slot()]
         if not free:
             return None
-        return self.better_of_two(self.own_hall_first(free))
+        return self.choose_of_two(self.prefer_own_hall(free))
 
-    def own_hall_first(self, free):
-        """Return the ones in the own hall, unless they are loaded."""
+    def prefer_own_hall(self, free):
+        """Return the pairs of the own hall unless it is loaded, else all pairs."""
         near = [pair for pair in free if pair[0].hall == self.hall]
         in_flight = sum(health.in_flight for _, health in near)
         limit = sum(health.limit for _, health in near)
-        return near if near and in_flight < limit * LOADED_PART else free
+        return near if near and in_flight < limit * LOADED_FRACTION else free
 
-    def better_of_two(self, pairs):
-        """Return the cheaper of two random ones."""
+    def choose_of_two(self, pairs):
+        """Return the cheaper of two randomly chosen pairs."""
         first = self.random.choice(pairs)
         second = self.random.choice(pairs)
         return min(first, second, key=lambda pair: pair[1].cost())
 
     def has_minion(self, service):
-        """Whether any minion may take requests of `service`."""
+        """Whether any minion may get requests of `service`."""
         return any(True for _ in self.candidates(service))
 
     def in_flight_by_vm(self):
-        """Return the requests in flight to VMs that are leaving."""
+        """Return the number of requests in flight by leaving VM."""
         counts = {}
         for known in self.health_by_service.values():
             for vm_name, health in known.health_by_vm.items():
@@ -189,7 +191,7 @@
         return {name: count for name, count in counts.items() if name in down}
 
     def forget_removed(self):
-        """Forget the minions whose VM or service is gone."""
+        """Drop the health of minions whose VM was removed."""
         vms = self.state().by_kind["vm"]
         for known in self.health_by_service.values():
             for vm_name in list(known.health_by_vm):
--- a/hingepitch/entry/caller.py
+++ b/hingepitch/entry/caller.py
@@ -2,7 +2,7 @@
 hingepitch.entry.caller
 ~~~~~~~~~~~~~~~~~~~~~~~
 
-The callers' HTTP side of an entry.
+HTTP API of an entry for callers.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -24,14 +24,14 @@
 
 
 class CallerApi:
-    """Takes `/s/SERVICE/…` from callers.
+    """Accepts callers' requests at `/s/SERVICE/…`.
 
     `proxy`
-        Carries the requests.
+        The `Proxy` that forwards the requests.
     `is_stopping`
-        Function: whether this entry takes no new work.
+        Function: whether this entry refuses new requests.
     `metrics`
-        Counts what became of the requests.
+        Counts the requests by outcome.
     """
 
     def __init__(self, proxy, is_stopping, metrics):
@@ -42,11 +42,11 @@
     def make(self):
         """Return the falcon application."""
         api = make_api()
-        api.add_sink(self.carry, prefix=r"/s/(?P<service>[a-z0-9.-]{1,63})(?=/|\Z)")
+        api.add_sink(self.forward, prefix=r"/s/(?P<service>[a-z0-9.-]{1,63})(?=/|\Z)")
         return api
 
-    def carry(self, req, resp, service):
-        """Carry one request; answer with the minion's answer or a problem."""
+    def forward(self, req, resp, service):
+        """Forward one request; answer with the minion's answer or a problem."""
         started = lease_seconds()
         try:
             if self.is_stopping():
@@ -72,7 +72,7 @@
         set_problem(resp, error, result.run.value)
 
     def count(self, service, outcome):
-        """Count what became of a request."""
+        """Count a request by its outcome."""
         known = service in self.proxy.follower.state.by_kind["service"]
         self.metrics.count(
             "requests",
@@ -82,11 +82,11 @@
         )
 
     def read_request(self, req, service, started):
-        """Return the request; raise `HingepitchError` if it is bad."""
+        """Return the parsed request; raise `HingepitchError` if it is invalid."""
         declared = self.proxy.follower.state.get("service", service)
         limit = declared.max_body_bytes if declared else 0
         if declared and (req.content_length or 0) > limit:
-            raise HingepitchError("body_too_large", f"over {limit} bytes")
+            raise HingepitchError("body_too_large", f"the body exceeds {limit} bytes")
         longest_ms = declared.deadline_ms if declared else DEFAULT_DEADLINE_MS
         key = req.get_header(KEY_HEADER) or ""
         if len(key) > MAX_KEY_CHARS:
@@ -94,7 +94,7 @@
         return Request(
             service=service,
             method=req.method,
-            target=target_of(req, service),
+            target=build_target(req, service),
             headers=list(header_pairs(req.env)),
             body=read_body(req, limit) if declared else b"",
             deadline=started + read_deadline_ms(req, longest_ms) / 1000,
@@ -103,19 +103,19 @@
         )
 
 
-def target_of(req, service):
-    """Return the path and query for the minion."""
+def build_target(req, service):
+    """Return the path and query to send to the minion."""
     raw_path = req.env["RAW_PATH"]
     if not raw_path.startswith(f"/s/{service}"):
-        raise HingepitchError("bad_request", "bad path")
+        raise HingepitchError("bad_request", "malformed path")
     path = raw_path.removeprefix(f"/s/{service}") or "/"
     if any(character <= " " or character == "\x7f" for character in path):
-        raise HingepitchError("bad_request", "bad path")
+        raise HingepitchError("bad_request", "malformed path")
     return f"{path}?{req.query_string}" if req.query_string else path
 
 
 def header_pairs(environ):
-    """Yield the headers of a WSGI environment for the minion."""
+    """Yield the headers of a WSGI environment as `(name, value)`."""
     if environ.get("CONTENT_TYPE"):
         yield "Content-Type", environ["CONTENT_TYPE"]
     for name, value in environ.items():
@@ -124,15 +124,17 @@
 
 
 def read_body(req, limit):
-    """Return the whole body; raise `body_too_large` or `bad_framing`."""
+    """Return the complete body; raise `body_too_large` or `bad_framing`."""
     try:
         body = req.bounded_stream.read(limit + 1) if has_body(req) else b""
     except OSError as error:
-        raise HingepitchError("bad_framing", f"the body: {error}") from None
+        raise HingepitchError(
+            "bad_framing", f"reading the body failed: {error}"
+        ) from None
     if len(body) > limit:
-        raise HingepitchError("body_too_large", f"over {limit} bytes")
+        raise HingepitchError("body_too_large", f"the body exceeds {limit} bytes")
     if req.content_length is not None and len(body) < req.content_length:
-        raise HingepitchError("bad_framing", "the body is shorter than its length")
+        raise HingepitchError("bad_framing", "the body is shorter than Content-Length")
     return body
 
 
@@ -142,26 +144,30 @@
 
 
 def read_deadline_ms(req, longest_ms):
-    """Return the caller's deadline, at most the one of the service."""
+    """Return the caller's deadline in ms, at most `longest_ms`."""
     text = req.get_header(DEADLINE_HEADER)
     if text is None:
         return longest_ms
     if not text.isdecimal() or len(text) > 9:
-        raise HingepitchError("bad_request", f"{DEADLINE_HEADER}: expected a number")
+        raise HingepitchError(
+            "bad_request", f"{DEADLINE_HEADER}: expected a number of milliseconds"
+        )
     return min(int(text), longest_ms)
 
 
 def read_priority(req):
-    """Return the priority that the caller asks for."""
+    """Return the `Priority` that the caller asks for."""
     name = req.get_header(PRIORITY_HEADER) or "normal"
     if name not in PRIORITY_BY_NAME:
         expected = ", ".join(PRIORITY_BY_NAME)
-        raise HingepitchError("bad_request", f"{PRIORITY_HEADER}: one of {expected}")
+        raise HingepitchError(
+            "bad_request", f"{PRIORITY_HEADER}: expected one of {expected}"
+        )
     return PRIORITY_BY_NAME[name]
 
 
 def set_answer(resp, answer):
-    """Pass on a minion's answer."""
+    """Copy a minion's answer to the falcon response `resp`."""
     resp.status = answer.status
     resp.data = answer.body
     for name, value in answer.headers:
--- a/hingepitch/entry/claim.py
+++ b/hingepitch/entry/claim.py
@@ -2,7 +2,7 @@
 hingepitch.entry.claim
 ~~~~~~~~~~~~~~~~~~~~~~
 
-Claims of requests that may not be repeated.
+Claims: idempotency records of requests that are not repeatable.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -20,9 +20,9 @@
 from hingepitch.model.record import ClaimState
 from hingepitch.request import Answer, Failure, Run
 
-__all__ = ["Claimer", "digest_of"]
+__all__ = ["Claimer", "compute_digest"]
 
-#: Answers up to this size are recorded, to be given to a resend.
+#: Largest answer body that is recorded to be replayed to a resent request.
 MAX_RECORDED_BYTES = 65_536
 
 BACKGROUND_SECONDS = 30.0
@@ -30,19 +30,19 @@
 LONG_RETRY_AFTER_MS = 60_000
 
 
-def digest_of(request):
-    """Return what must be the same in a request resent with its key."""
+def compute_digest(request):
+    """Return the digest that must match when a key is used again."""
     parts = [request.method.encode(), request.target.encode(), request.body]
     return hashlib.sha256(b"\0".join(parts)).hexdigest()
 
 
 class Claimer:
-    """Claims requests in the log of the control group.
+    """Opens and closes claims in the replicated log of the control group.
 
     `group`
         A `GroupClient`.
     `name`
-        Of this entry.
+        Name of this entry.
     """
 
     def __init__(self, group, name):
@@ -50,24 +50,29 @@
         self.name = name
 
     def propose(self, command, command_id, seconds):
-        """Put a command into the log; resent until there is an answer."""
+        """Propose a command; resend it for `seconds` until it is answered."""
         envelope = Envelope(Role.ENTRY, "", self.name, command, command_id)
         return self.group.propose(envelope, seconds)
 
     def open(self, request):
         """Claim `request`; return the claim, an `Answer` or a `Failure`.
 
-        The answer is the recorded one, if the request was answered before.
+        An `Answer` is the one recorded when the request was first answered.
         """
-        command = OpenClaim(request.service, request.key, digest_of(request), self.name)
+        command = OpenClaim(
+            request.service, request.key, compute_digest(request), self.name
+        )
         command_id = f"claim-{uuid.uuid4().hex}"
         seconds = request.deadline - lease_seconds()
         try:
             outcome = self.propose(command, command_id, seconds)
         except HingepitchError as error:
-            gevent.spawn(self.take_back, command, command_id)
+            gevent.spawn(self.release_unconfirmed, command, command_id)
             return Failure(
-                "no_leader", Run.NOT_RUN, f"no claim: {error.code}", RETRY_AFTER_MS
+                "no_leader",
+                Run.NOT_RUN,
+                f"the claim could not be opened: {error.code}",
+                RETRY_AFTER_MS,
             )
         if outcome.accepted:
             return outcome.claim
@@ -82,16 +87,23 @@
         return Failure(outcome.code, run, outcome.detail, retry)
 
     def recorded_answer(self, claim):
-        """Return the answer that was recorded for a claim."""
+        """Return the recorded `Answer` of a claim, or a `Failure` without one."""
         if claim.body is None:
-            return Failure("key_unknown", Run.UNKNOWN, "it ran; the answer is not kept")
+            return Failure(
+                "key_unknown",
+                Run.UNKNOWN,
+                "the request ran, but its answer was not recorded",
+            )
         headers = [("Hingepitch-Replayed", "true")]
         if claim.content_type:
             headers.append(("Content-Type", claim.content_type))
         return Answer(claim.status, headers, claim.body)
 
-    def take_back(self, command, command_id):
-        """Release a claim whose opening got no answer: nothing was sent."""
+    def release_unconfirmed(self, command, command_id):
+        """Release a claim whose opening has an unknown outcome.
+
+        The request was not sent to a minion.
+        """
         try:
             outcome = self.propose(command, command_id, BACKGROUND_SECONDS)
             if outcome.accepted:
@@ -100,7 +112,7 @@
             log_event("claim_left_open", key=command.key, error=error.code)
 
     def close(self, claim, answer, seconds):
-        """Record the answer; go on in the background if that takes long."""
+        """Record the answer; after `seconds`, continue in the background."""
         recorded = answer.body if len(answer.body) <= MAX_RECORDED_BYTES else None
         content_types = [
             value for name, value in answer.headers if name.lower() == "content-type"
@@ -113,15 +125,15 @@
             content_types[0] if content_types else "",
             recorded,
         )
-        worker = gevent.spawn(self.finish, command)
+        worker = gevent.spawn(self.record_end, command)
         worker.join(timeout=max(0.0, seconds))
 
     def release(self, claim):
-        """Give a claim back: no byte of the request left this entry."""
-        self.finish(ReleaseClaim(claim.service, claim.key, claim.version))
+        """Release a claim of a request of which no byte was sent."""
+        self.record_end(ReleaseClaim(claim.service, claim.key, claim.version))
 
-    def finish(self, command):
-        """Put the end of a claim into the log, trying for a while."""
+    def record_end(self, command):
+        """Propose the end of a claim, with retries for `BACKGROUND_SECONDS`."""
         command_id = f"claim-{uuid.uuid4().hex}"
         try:
             self.propose(command, command_id, BACKGROUND_SECONDS)
--- a/hingepitch/entry/follower.py
+++ b/hingepitch/entry/follower.py
@@ -2,7 +2,7 @@
 hingepitch.entry.follower
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Follows the state of the control group and holds the entry's lease.
+Follows the control group's state under a lease.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -21,22 +21,22 @@
 
 WAIT_MS = 1000
 WAIT_WHILE_LEAVING_MS = 50
-PAUSE_SECONDS = 0.05
+RETRY_PAUSE_SECONDS = 0.05
 
 
 class Follower:
-    """The copy of the state at one entry, with the lease on it.
+    """Replicates the state to one entry and holds the entry's lease.
 
     `group`
         A `GroupClient`.
     `name`, `hall`
-        Of this entry.
+        Name and hall of this entry.
     `in_flight_by_vm`
-        Function: requests in flight to VMs that are leaving.
+        Function: requests in flight by leaving VM.
 
-    A lease runs from the sending of the call that renewed it. The answer
-    that renews it also brings every change accepted before, so that an
-    entry with a lease works by a state no older than the lease.
+    A lease starts when the call that renews it is sent. The answer to that
+    call also delivers every change accepted before it, so the state of an
+    entry with a lease is never older than the lease.
     """
 
     def __init__(self, group, name, hall, in_flight_by_vm):
@@ -48,23 +48,23 @@
         self.version = 0
         self.lease_until = 0.0
         self.had_lease = False
-        self.unread_version = 0
+        self.undecodable_version = 0
 
     def has_lease(self):
-        """Whether this entry may take work now."""
+        """Whether the lease has not expired, so that requests may be served."""
         return lease_seconds() < self.lease_until
 
     def run(self):
-        """Follow until killed."""
+        """Renew the lease and apply changes until killed."""
         while True:
             try:
                 self.sync()
             except HingepitchError as error:
-                self.note_lease(error.code)
-                gevent.sleep(PAUSE_SECONDS)
+                self.log_lease_change(error.code)
+                gevent.sleep(RETRY_PAUSE_SECONDS)
 
     def sync(self):
-        """Renew the lease once and take the changes."""
+        """Renew the lease once and apply the changes."""
         in_flight = self.in_flight_by_vm()
         request = SyncRequest(
             entry=self.name,
@@ -76,27 +76,34 @@
         sent_at = lease_seconds()
         changes = self.group.call_once("sync", request)
         if changes.version < self.version:
-            raise HingepitchError("stale_version", "the group is behind this entry")
+            raise HingepitchError(
+                "stale_version",
+                "the control group's version is older than this entry's",
+            )
         if changes.version > self.version or changes.full:
             objects = self.read_changes(changes)
             self.state.follow(objects, changes.version, changes.full)
             self.version = changes.version
             log_event("version_applied", version=self.version)
         self.lease_until = sent_at + changes.lease_ms / 1000
-        self.note_lease("")
+        self.log_lease_change("")
 
     def read_changes(self, changes):
-        """Return the changes of an answer; raise `peer_failed`, logged once."""
+        """Return the decoded changes of an answer.
+
+        Raises `HingepitchError` (`peer_failed`) if they cannot be decoded;
+        this is logged once for each version.
+        """
         try:
             return decode_changes(changes.objects)
         except HingepitchError as error:
-            if self.unread_version != changes.version:
-                self.unread_version = changes.version
+            if self.undecodable_version != changes.version:
+                self.undecodable_version = changes.version
                 log_event("changes_unread", version=changes.version, error=error.detail)
             raise
 
-    def note_lease(self, reason):
-        """Log when the lease comes or goes."""
+    def log_lease_change(self, reason):
+        """Log when the lease is gained or lost."""
         has_lease = self.has_lease()
         if has_lease != self.had_lease:
             self.had_lease = has_lease
--- a/hingepitch/entry/limit.py
+++ b/hingepitch/entry/limit.py
@@ -2,8 +2,8 @@
 hingepitch.entry.limit
 ~~~~~~~~~~~~~~~~~~~~~~
 
-Bounded waiting for a slot, by priority and deadline; and retry
-budgets.
+Bounded queue for minion slots, ordered by priority and deadline, and
+retry budgets.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -22,11 +22,11 @@
 
 __all__ = ["RetryBudget", "SlotQueue"]
 
-#: Waiting requests, as a multiple of the slots of the service.
+#: Limit of waiting requests for each slot of the service.
 QUEUE_PER_SLOT = 2
 MIN_QUEUE = 16
 
-#: Completions by which the drain rate is measured.
+#: Latest completions from which the drain rate is computed.
 RATE_SAMPLES = 64
 RATE_WINDOW_SECONDS = 2.0
 
@@ -35,12 +35,14 @@
 
 
 class RetryBudget:
-    """Retries as a share of the requests, so that they never multiply.
+    """Token bucket that limits retries to a share of the requests.
+
+    It keeps retries from multiplying the load.
 
     `share`
-        Retries allowed for each request. Default: 0.1.
+        Tokens that each request adds. Default: 0.1.
     `burst`
-        Retries that may be saved up. Default: 10.
+        Largest number of tokens. Default: 10.
     """
 
     def __init__(self, share=0.1, burst=10.0):
@@ -49,11 +51,11 @@
         self.tokens = burst
 
     def note_request(self):
-        """Count a first try."""
+        """Count the first attempt of a request."""
         self.tokens = min(self.burst, self.tokens + self.share)
 
     def take(self):
-        """Whether a retry may be made now."""
+        """Consume the token of a retry; return whether there was one."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -66,16 +68,17 @@
     def __init__(self, request):
         self.request = request
         self.result = AsyncResult()
-        self.is_gone = False
+        self.is_removed = False
 
 
 class SlotQueue:
-    """The requests of one service that wait for a minion with room.
+    """Priority queue of one service's requests that wait for a free slot.
 
     `choose`
-        Function: returns a minion with room, or None.
+        Function from the VMs to avoid: returns `(vm, health)` of a minion
+        with a free slot, or None.
     `max_waiting`
-        Function: how many requests may wait.
+        Function: the largest number of waiting requests.
     `seed`
         Seed of the jitter.
     """
@@ -90,42 +93,45 @@
         self.completions = deque(maxlen=RATE_SAMPLES)
 
     def acquire(self, request, avoid=()):
-        """Return a minion for `request`, or a `Failure` at once when shed."""
+        """Return `(vm, health)` for `request`, or a `Failure`.
+
+        Waits for a slot at most until the deadline of the request.
+        """
         chosen = self.choose(avoid) if not self.waiting else None
         if chosen is not None:
             chosen[1].in_flight += 1
             return chosen
-        refusal = self.refuse_if_hopeless(request)
+        refusal = self.refuse_if_unservable(request)
         if refusal is not None:
             return refusal
         return self.wait(request)
 
-    def refuse_if_hopeless(self, request):
+    def refuse_if_unservable(self, request):
         """Return a `Failure` if the request cannot be served in time.
 
-        A queue that is full sheds its least urgent request instead, if
-        that is less urgent than `request`.
+        If the queue is full and its least urgent request is less urgent than
+        `request`, that one is shed instead.
         """
         seconds = request.deadline - lease_seconds()
         ahead = sum(
             1
             for priority, _, _, waiter in self.heap
-            if not waiter.is_gone and priority <= request.priority
+            if not waiter.is_removed and priority <= request.priority
         )
         rate = self.drain_rate()
         if rate and ahead / rate > seconds:
-            return self.overloaded("the queue is longer than the deadline")
+            return self.overloaded("the expected wait exceeds the deadline")
         if self.waiting < self.max_waiting():
             return None
-        last = max((item for item in self.heap if not item[3].is_gone), default=None)
+        last = max((item for item in self.heap if not item[3].is_removed), default=None)
         if last is None or last[0] <= request.priority:
             return self.overloaded("the queue is full")
-        self.leave(last[3])
-        last[3].result.set(self.overloaded("shed for more urgent work"))
+        self.remove_waiter(last[3])
+        last[3].result.set(self.overloaded("shed for a more urgent request"))
         return None
 
     def wait(self, request):
-        """Wait in the queue; return a minion or a `Failure`."""
+        """Wait in the queue; return `(vm, health)` or a `Failure`."""
         waiter = Waiter(request)
         item = (request.priority, request.deadline, next(self.order), waiter)
         heapq.heappush(self.heap, item)
@@ -134,26 +140,26 @@
         try:
             return waiter.result.get(timeout=seconds)
         except gevent.Timeout:
-            return self.overloaded("no slot in time")
+            return self.overloaded("no slot became free before the deadline")
         finally:
-            if not waiter.is_gone:
-                self.leave(waiter)
+            if not waiter.is_removed:
+                self.remove_waiter(waiter)
 
-    def leave(self, waiter):
-        """Take a waiter out; its place in the heap goes later."""
-        waiter.is_gone = True
+    def remove_waiter(self, waiter):
+        """Remove a waiter; `serve` drops its heap item later."""
+        waiter.is_removed = True
         self.waiting -= 1
 
     def release(self, health):
-        """Give a slot back, and serve who waits."""
+        """Release a slot and serve the queue."""
         health.in_flight -= 1
         self.completions.append(lease_seconds())
         self.serve()
 
     def serve(self):
-        """Give free slots to the first waiters."""
+        """Give free slots to the waiters, most urgent first."""
         while self.heap:
-            if self.heap[0][3].is_gone:
+            if self.heap[0][3].is_removed:
                 heapq.heappop(self.heap)
                 continue
             chosen = self.choose(())
@@ -161,11 +167,11 @@
                 return
             waiter = heapq.heappop(self.heap)[3]
             chosen[1].in_flight += 1
-            self.leave(waiter)
+            self.remove_waiter(waiter)
             waiter.result.set(chosen)
 
     def drain_rate(self):
-        """Return completions a second lately, or 0 if not known."""
+        """Return the recent completions per second, or 0 if unknown."""
         if len(self.completions) < 2:
             return 0.0
         now = lease_seconds()
@@ -175,11 +181,11 @@
         return len(recent) / max(0.001, now - recent[0])
 
     def overloaded(self, detail):
-        """Return the `Failure` of a request that is refused."""
+        """Return the `Failure` of a request refused for lack of slots."""
         return Failure("overloaded", Run.NOT_RUN, detail, self.retry_after_ms())
 
     def retry_after_ms(self):
-        """Return when to come back, spread so that a wave does not return."""
+        """Return the retry delay in ms, with jitter to spread the callers' retries."""
         rate = self.drain_rate()
         expected_ms = 1000 * (self.waiting + 1) / rate if rate else 1000
         bounded = min(max(expected_ms, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS)
--- a/hingepitch/entry/program.py
+++ b/hingepitch/entry/program.py
@@ -27,19 +27,19 @@
 
 __all__ = ["Entry", "main"]
 
-#: Time for the answers in flight when the entry stops.
+#: Longest wait for requests in flight when the entry stops.
 FINISH_SECONDS = 30.0
 SERVE_QUEUES_SECONDS = 0.25
-CALLS_AT_ONCE = 16
+CONTROL_CONNECTIONS = 16
 
 
 class Entry(Application):
-    """One entry, with all its parts."""
+    """The entry daemon."""
 
     program = "entry"
 
     def setup(self):
-        """Wire the parts."""
+        """Create and connect the components."""
         settings = self.settings
         self.is_leaving = False
         self.is_stopping = False
@@ -48,7 +48,7 @@
             settings.control,
             settings.name,
             settings.shared_key,
-            connections=CALLS_AT_ONCE,
+            connections=CONTROL_CONNECTIONS,
         )
         following = GroupClient(
             settings.control, settings.name, settings.shared_key, timeout_seconds=2.0
@@ -76,37 +76,41 @@
         self.http = HttpServer(settings.http_address, api, settings.connections)
 
     def start(self):
-        """Start the children and the server."""
+        """Start the supervised children and the HTTP server."""
         self.supervisor.start("follower", self.follower.run)
         self.supervisor.start("queues", self.serve_queues)
         self.listen("http", self.http)
 
     def serve_queues(self):
-        """Serve the queues also when nothing ends: minions may have come."""
+        """Serve the queues periodically.
+
+        Slots also become free when minions are added, not only when requests
+        end.
+        """
         while True:
             gevent.sleep(SERVE_QUEUES_SECONDS)
             self.balancer.forget_removed()
-            for desk in self.proxy.desk_by_service.values():
-                desk.queue.serve()
+            for context in self.proxy.context_by_service.values():
+                context.queue.serve()
 
     def drain(self):
-        """Let the balancer leave, refuse new work, finish what is in flight."""
+        """Fail the health check, then refuse requests and finish those in flight."""
         self.is_leaving = True
         gevent.sleep(self.settings.drain_seconds)
         self.is_stopping = True
         wait_until(lambda: self.proxy.in_flight == 0, FINISH_SECONDS)
 
     def stop(self):
-        """Stop the server."""
+        """Stop the HTTP server."""
         if hasattr(self, "http"):
             self.http.stop()
 
     def is_healthy(self):
-        """Whether a balancer should send callers here."""
+        """Whether an external load balancer should route callers here."""
         return not self.is_leaving and self.follower.has_lease()
 
     def status(self):
-        """Return the status of this entry as plain values."""
+        """Return the status of this entry as JSON-serializable values."""
         return {
             "name": self.settings.name,
             "hall": self.settings.hall,
@@ -116,16 +120,16 @@
             "failing_children": self.supervisor.failing,
             "services": {
                 name: {
-                    "in_flight": desk.in_flight,
-                    "waiting": desk.queue.waiting,
+                    "in_flight": context.in_flight,
+                    "waiting": context.queue.waiting,
                     "minions": self.minion_status(name),
                 }
-                for name, desk in self.proxy.desk_by_service.items()
+                for name, context in self.proxy.context_by_service.items()
             },
         }
 
     def minion_status(self, service_name):
-        """Return what this entry knows of the minions of a service."""
+        """Return the health of the minions of a service, by VM."""
         known = self.balancer.health_by_service.get(service_name)
         if known is None:
             return {}
@@ -140,10 +144,10 @@
 
 
 def run(*, settings: str, check: bool = False):
-    """Run one entry: it takes callers' requests and carries them to minions.
+    """Run an entry, which forwards callers' requests to minions.
 
     :param settings: the settings file (YAML)
-    :param check: only say whether the settings are valid
+    :param check: validate the settings and exit
     """
     return run_daemon(Entry, EntrySettings, settings, check)
 
--- a/hingepitch/entry/proxy.py
+++ b/hingepitch/entry/proxy.py
@@ -2,7 +2,7 @@
 hingepitch.entry.proxy
 ~~~~~~~~~~~~~~~~~~~~~~
 
-The way of a request through an entry.
+Admission, retries and forwarding of callers' requests.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -23,8 +23,8 @@
 NO_MINION_RETRY_MS = 1000
 
 
-class ServiceDesk:
-    """What an entry keeps for one service: its queue and retry budget."""
+class ServiceContext:
+    """State of one service at an entry: its queue and retry budget."""
 
     def __init__(self, proxy, name):
         self.proxy = proxy
@@ -35,18 +35,18 @@
 
     @property
     def service(self):
-        """The service as it is declared now, or None."""
+        """The current declaration of the service, or None."""
         return self.proxy.follower.state.get("service", self.name)
 
     def choose(self, avoid):
-        """Return a minion with room, or None."""
+        """Return `(vm, health)` of a minion with a free slot, or None."""
         service = self.service
         if service is None or not self.proxy.follower.has_lease():
             return None
         return self.proxy.balancer.choose(service, avoid)
 
     def max_waiting(self):
-        """Return how many requests may wait for a slot."""
+        """Return the largest number of requests that may wait for a slot."""
         service = self.service
         if service is None:
             return 0
@@ -59,12 +59,16 @@
 
 
 class Proxy:
-    """Carries callers' requests to minions.
-
-    `follower`, `balancer`, `claimer`
-        The parts it uses.
+    """Forwards callers' requests to minions.
+
+    `follower`
+        A `Follower`: the replicated state and the lease.
+    `balancer`
+        A `Balancer`: chooses minions.
+    `claimer`
+        A `Claimer`: records requests that are not repeatable.
     `metrics`
-        Counts what became of the requests.
+        Counts the retries.
     """
 
     def __init__(self, follower, balancer, claimer, metrics):
@@ -72,16 +76,18 @@
         self.balancer = balancer
         self.claimer = claimer
         self.metrics = metrics
-        self.desk_by_service = {}
+        self.context_by_service = {}
         self.connections_by_address = {}
         self.in_flight = 0
 
-    def desk(self, service_name):
-        """Return the desk of a service."""
-        desk = self.desk_by_service.get(service_name)
-        if desk is None:
-            desk = self.desk_by_service[service_name] = ServiceDesk(self, service_name)
-        return desk
+    def context(self, service_name):
+        """Return the `ServiceContext` of a service, created on first use."""
+        context = self.context_by_service.get(service_name)
+        if context is None:
+            context = self.context_by_service[service_name] = ServiceContext(
+                self, service_name
+            )
+        return context
 
     def handle(self, request):
         """Return the `Answer` to `request`, or a `Failure`."""
@@ -89,60 +95,59 @@
         refusal = self.refusal(service, request)
         if refusal is not None:
             return refusal
-        desk = self.desk(service.name)
-        desk.in_flight += 1
+        context = self.context(service.name)
+        context.in_flight += 1
         self.in_flight += 1
         try:
             if service.repeatable:
-                return self.send_repeatable(desk, request)
+                return self.send_repeatable(context, request)
             if request.key:
-                return self.send_claimed(desk, request)
-            return self.send_once(desk, request)
+                return self.send_claimed(context, request)
+            return self.send_once(context, request)
         finally:
-            desk.in_flight -= 1
+            context.in_flight -= 1
             self.in_flight -= 1
 
     def refusal(self, service, request):
-        """Return a `Failure` for a request that is not even begun, or None."""
+        """Return the `Failure` of a request that is not admitted, or None."""
         if not self.follower.has_lease():
             return Failure("no_lease", Run.NOT_RUN, "", NO_LEASE_RETRY_MS)
         if service is None:
             return Failure("unknown_service", Run.NOT_RUN, request.service)
         if len(request.body) > service.max_body_bytes:
             return Failure("body_too_large", Run.NOT_RUN)
-        desk = self.desk(service.name)
-        if desk.in_flight >= service.connections:
-            return desk.queue.overloaded("all connections are in use")
+        context = self.context(service.name)
+        if context.in_flight >= service.connections:
+            return context.queue.overloaded("all connections are in use")
         if not self.balancer.has_minion(service):
             return Failure("no_minion", Run.NOT_RUN, "", NO_MINION_RETRY_MS)
         return None
 
-    def send_repeatable(self, desk, request):
-        """Send a request, and again elsewhere if it fails and may be."""
-        desk.retries.note_request()
+    def send_repeatable(self, context, request):
+        """Send a request; retry it on other minions within the retry budget."""
+        context.retries.note_request()
         avoid = set()
-        result = self.send_avoiding(desk, request, avoid)
+        result = self.send_avoiding(context, request, avoid)
         for _ in range(MAX_TRIES - 1):
-            if not self.is_worth_retry(result, request) or not desk.retries.take():
+            if not self.is_worth_retry(result, request) or not context.retries.take():
                 return result
-            retried = self.send_avoiding(desk, request, avoid)
-            self.metrics.count("retries", "Requests tried again.", service=desk.name)
-            result = self.better(result, retried)
+            retried = self.send_avoiding(context, request, avoid)
+            self.metrics.count("retries", "Requests tried again.", service=context.name)
+            result = self.choose_result(result, retried)
         return result
 
     def is_worth_retry(self, result, request):
-        """Whether another minion might do better in time."""
+        """Whether the failure is retryable and the deadline has not passed."""
         if lease_seconds() >= request.deadline:
             return False
         if isinstance(result, Answer):
             return result.status >= 500
         return result.code == "minion_failed"
 
-    def better(self, first, second):
+    def choose_result(self, first, second):
         """Return the result to pass on after a retry.
 
-        What ran stays run: a refusal of the retry must not hide that the
-        first try reached a minion.
+        A refused retry must not hide that the first attempt may have run.
         """
         if isinstance(second, Failure) and isinstance(first, Answer):
             return first
@@ -150,38 +155,41 @@
             return replace(second, run=Run.UNKNOWN)
         return second
 
-    def send_avoiding(self, desk, request, avoid):
-        """Send a request to a minion not in `avoid`, and add it there."""
-        chosen = desk.queue.acquire(request, avoid)
+    def send_avoiding(self, context, request, avoid):
+        """Send a request to a minion not in `avoid`; add its VM to `avoid`."""
+        chosen = context.queue.acquire(request, avoid)
         if isinstance(chosen, Failure):
             return chosen
         avoid.add(chosen[0].name)
-        return self.send_to(desk, chosen, request)
+        return self.send_to(context, chosen, request)
+
+    def send_once(self, context, request):
+        """Send a request that is not repeatable and has no key.
 
-    def send_once(self, desk, request):
-        """Send a request that may not be repeated and has no key."""
+        Another minion is tried only if no byte was sent.
+        """
         avoid = set()
-        result = self.send_avoiding(desk, request, avoid)
+        result = self.send_avoiding(context, request, avoid)
         while is_unsent(result) and len(avoid) < MAX_TRIES:
-            result = self.send_avoiding(desk, request, avoid)
+            result = self.send_avoiding(context, request, avoid)
         return result
 
-    def send_claimed(self, desk, request):
-        """Send a request with a key: claimed first, recorded afterwards."""
+    def send_claimed(self, context, request):
+        """Claim a request with a key, send it and record its answer."""
         claim = self.claimer.open(request)
         if isinstance(claim, (Answer, Failure)):
             return claim
-        result = self.send_once(desk, request)
+        result = self.send_once(context, request)
         if isinstance(result, Answer):
             self.claimer.close(claim, result, request.deadline - lease_seconds())
         elif result.run is Run.NOT_RUN:
             self.claimer.release(claim)
         return result
 
-    def send_to(self, desk, chosen, request):
-        """Send a request to the chosen minion; learn from the result."""
+    def send_to(self, context, chosen, request):
+        """Send a request to the chosen minion and record the result."""
         vm, health = chosen
-        service = desk.service
+        service = context.service
         address = (vm.ip, service.port)
         connections = self.connections_by_address.get(address)
         if connections is None:
@@ -191,13 +199,13 @@
             if not self.follower.has_lease():
                 return Failure("no_lease", Run.NOT_RUN, "", NO_LEASE_RETRY_MS)
             result = connections.exchange(request)
-            self.learn(health, result, service)
+            self.record_result(health, result, service)
             return result
         finally:
-            desk.queue.release(health)
+            context.queue.release(health)
 
-    def learn(self, health, result, service):
-        """Learn from the result of one try."""
+    def record_result(self, health, result, service):
+        """Update the health of a minion by the result of one attempt."""
         if isinstance(result, Answer) and result.status < 500:
             health.note_success(service.slots)
         else:
@@ -205,7 +213,7 @@
 
 
 def is_unsent(result):
-    """Whether a try failed before a byte was handed to a socket."""
+    """Whether an attempt failed before a byte was handed to a socket."""
     return (
         isinstance(result, Failure)
         and result.run is Run.NOT_RUN
--- a/hingepitch/entry/settings.py
+++ b/hingepitch/entry/settings.py
@@ -21,14 +21,15 @@
     """Settings of `hingepitch-entry`.
 
     `control`
-        `IP:port` of the control replicas.
+        Addresses of the control replicas, `IP:port`.
     `connections`
-        Callers' connections at once. Default: 2000.
+        Limit of concurrent connections of callers. Default: 2000.
     `drain_seconds`
-        How long a stopping entry still serves after its health check
-        fails, so that the balancer can leave it. Default: 2.
+        How long a stopping entry serves requests after its health check
+        starts to fail, so that load balancers can stop routing to it.
+        Default: 2.
     `seed`
-        Seed of the choice of minions. Default: 0.
+        Seed of the random choice of minions. Default: 0.
     """
 
     control: Annotated[list[Address], Field(min_length=1)]
--- a/hingepitch/error.py
+++ b/hingepitch/error.py
@@ -2,7 +2,7 @@
 hingepitch.error
 ~~~~~~~~~~~~~~~~
 
-The table of error codes and the one exception that carries them.
+Error codes and the exception that carries them.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -24,13 +24,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ErrorKind:
-    """What a code means, and the HTTP status that carries it."""
+    """HTTP status and title of an error code."""
 
     status: int
     title: str
 
 
-#: Every code that a caller, an operator or a log line can meet.
+#: All error codes, as they appear in answers to callers and operators and in logs.
 ERROR_BY_CODE = {
     "bad_framing": ErrorKind(400, "The request is not framed unambiguously"),
     "bad_request": ErrorKind(400, "The request cannot be understood"),
@@ -88,17 +88,17 @@
 
 
 class HingepitchError(Exception):
-    """A failure with a code of `ERROR_BY_CODE`.
+    """An error with a code of `ERROR_BY_CODE`.
 
     `detail`
-        What happened, for people.
+        Human-readable description of what happened.
     `retry_after_ms`
-        When the caller may come back, in milliseconds, or None.
+        Milliseconds after which the caller may retry, or None.
     """
 
     def __init__(self, code, detail="", retry_after_ms=None):
         if code not in ERROR_BY_CODE:
-            raise KeyError(f"no such error code: {code}")
+            raise KeyError(f"unknown error code: {code}")
         super().__init__(f"{code}: {detail}")
         self.code = code
         self.detail = detail
--- a/hingepitch/exchange.py
+++ b/hingepitch/exchange.py
@@ -2,7 +2,7 @@
 hingepitch.exchange
 ~~~~~~~~~~~~~~~~~~~
 
-One request and one answer on one connection to a minion.
+HTTP client for minions: one request at a time on each connection.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -29,8 +29,9 @@
 MAX_IDLE = 64
 MAX_IDLE_SECONDS = 30.0
 
-#: Headers that belong to one connection, and are not passed on.
-CONNECTION_HEADERS = frozenset(
+#: Headers that apply to one connection and are not forwarded, and those that
+#: `render_request` sets itself.
+HOP_BY_HOP_HEADERS = frozenset(
     (
         "connection",
         "keep-alive",
@@ -48,76 +49,81 @@
 BODILESS_STATUSES = frozenset((204, 304))
 
 
-class BrokenAnswer(Exception):
-    """The answer is not whole or its end is not certain."""
+class InvalidAnswer(Exception):
+    """The answer is incomplete, malformed, too large or its end is ambiguous."""
 
 
 class AnswerParser(HTTPResponse):
-    """Parser that keeps the first answer apart from whatever follows.
+    """Parser that separates the first answer from any bytes after it.
 
-    `whole`
+    `first_answer`
         The first answer once it is complete, else None.
-    `has_more`
-        Whether bytes came after it: the connection must be closed.
+    `has_trailing_bytes`
+        Whether bytes followed the first answer, so that the connection must
+        be closed.
     """
 
     def __init__(self, method):
         super().__init__(method=method)
-        self.whole = None
-        self.has_more = False
+        self.first_answer = None
+        self.has_trailing_bytes = False
 
     def feed_first(self, data):
-        """Feed bytes; what is wrong after the first answer does not count."""
+        """Parse bytes; raise `InvalidAnswer` for errors in the first answer only."""
         try:
             self.feed(data)
         except HTTPParseError as error:
-            if self.whole is None:
-                raise BrokenAnswer(str(error)) from None
-            self.has_more = True
+            if self.first_answer is None:
+                raise InvalidAnswer(str(error)) from None
+            self.has_trailing_bytes = True
 
     def _on_message_begin(self):
-        if self.whole is not None:
-            self.has_more = True
+        if self.first_answer is not None:
+            self.has_trailing_bytes = True
             return
         super()._on_message_begin()
 
     def _on_body(self, buf):
-        if self.whole is None:
+        if self.first_answer is None:
             super()._on_body(buf)
             if len(self._body_buffer) > MAX_ANSWER_BYTES:
-                raise BrokenAnswer("the answer is over the limit")
+                raise InvalidAnswer("the answer body exceeds the size limit")
 
     def _on_message_complete(self):
         super()._on_message_complete()
-        if self.whole is None:
-            self.whole = Answer(
-                self.status_code, pass_headers(self.items()), bytes(self._body_buffer)
+        if self.first_answer is None:
+            self.first_answer = Answer(
+                self.status_code,
+                drop_hop_by_hop(self.items()),
+                bytes(self._body_buffer),
             )
 
 
-def pass_headers(pairs):
-    """Return the headers that are passed on."""
+def drop_hop_by_hop(pairs):
+    """Return the headers to forward: no hop-by-hop ones, no line feeds."""
     return [
         (name, value)
         for name, value in pairs
-        if name.lower() not in CONNECTION_HEADERS and "\n" not in value
+        if name.lower() not in HOP_BY_HOP_HEADERS and "\n" not in value
     ]
 
 
 def render_request(request, address):
-    """Return the bytes of `request` for the minion at `address`."""
+    """Return the HTTP/1.1 bytes of `request` for the minion at `address`."""
     lines = [
         f"{request.method} {request.target} HTTP/1.1",
         f"Host: {address[0]}:{address[1]}",
         f"Content-Length: {len(request.body)}",
     ]
-    lines += [f"{name}: {value}" for name, value in pass_headers(request.headers)]
+    lines += [f"{name}: {value}" for name, value in drop_hop_by_hop(request.headers)]
     head = "\r\n".join(lines) + "\r\n\r\n"
     return head.encode("latin-1") + request.body
 
 
 def check_answer_head(head, method):
-    """Raise `BrokenAnswer` unless the end of the answer is certain.
+    """Raise an error unless the head determines the end of the answer.
+
+    The error is `InvalidAnswer` or the `FramingError` of `check_framing`.
 
     `head`
         The raw bytes up to and including the empty line.
@@ -125,11 +131,11 @@
     status_line, *lines = head[:-2].splitlines(keepends=True)
     parts = status_line.split(b" ", 2)
     if not status_line.endswith(b"\r\n"):
-        raise BrokenAnswer("a status line without its end")
+        raise InvalidAnswer("the status line does not end with CR LF")
     if len(parts) < 2 or not parts[0].startswith(b"HTTP/1.") or len(parts[1]) != 3:
-        raise BrokenAnswer("not a status line")
+        raise InvalidAnswer("malformed status line")
     if not parts[1].isdigit() or parts[1] < b"200":
-        raise BrokenAnswer("an interim answer that was not asked for")
+        raise InvalidAnswer("unexpected interim (1xx) answer")
     pairs = list(split_header_block(lines))
     check_framing(pairs)
     has_end = any(
@@ -137,17 +143,19 @@
     )
     bodiless = method == "HEAD" or int(parts[1]) in BODILESS_STATUSES
     if not has_end and not bodiless:
-        raise BrokenAnswer("the answer has no certain end")
+        raise InvalidAnswer(
+            "the answer has neither Content-Length nor Transfer-Encoding"
+        )
 
 
 class MinionConnections:
-    """Connections to one minion, each with one request in flight.
+    """Connection pool for one minion; each connection has one request in flight.
 
     `address`
         `(ip, port)` of the minion.
 
-    A connection is used again only after a whole, well-framed answer with
-    nothing behind it.
+    A connection is reused only after a complete, well-framed answer with no
+    bytes after it.
     """
 
     def __init__(self, address):
@@ -155,7 +163,10 @@
         self.idle = deque()
 
     def exchange(self, request):
-        """Send `request` once; return an `Answer` or a `Failure`."""
+        """Send `request` once; return an `Answer` or a `Failure`.
+
+        The failure is NOT_RUN only if no byte was sent.
+        """
         try:
             sock = self.take()
         except OSError as error:
@@ -169,10 +180,10 @@
                 return self.send_and_receive(sock, request)
         except gevent.Timeout:
             sock.close()
-            # All open connections may have gone silent, while new ones work.
+            # The idle connections may be unresponsive too, while new ones work.
             self.close()
             return Failure("deadline_passed", Run.UNKNOWN, "no answer in time")
-        except (OSError, ValueError, BrokenAnswer) as error:
+        except (OSError, ValueError, InvalidAnswer) as error:
             sock.close()
             return Failure("minion_failed", Run.UNKNOWN, str(error))
         except BaseException:
@@ -180,56 +191,60 @@
             raise
 
     def take(self):
-        """Return an idle connection that is still clean, or a new one."""
+        """Return an idle connection with no unread bytes, or a new one."""
         horizon = lease_seconds() - MAX_IDLE_SECONDS
         while self.idle:
             since, sock = self.idle.pop()
             if since > horizon and not is_readable(sock):
                 return sock
             sock.close()
-        # The time-out of the connection does not cover the reading of the
-        # address, which goes through a thread.
-        with gevent.Timeout(MAX_CONNECT_SECONDS, TimeoutError("no connection in time")):
+        # The socket timeout does not cover the address lookup, which gevent runs
+        # in a thread.
+        with gevent.Timeout(MAX_CONNECT_SECONDS, TimeoutError("connecting timed out")):
             sock = socket.create_connection(self.address, MAX_CONNECT_SECONDS)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.settimeout(None)
         return sock
 
     def give_back(self, sock):
-        """Keep a clean connection for later."""
+        """Keep a connection for reuse, or close it if enough are idle."""
         if len(self.idle) >= MAX_IDLE:
             sock.close()
             return
         self.idle.append((lease_seconds(), sock))
 
     def send_and_receive(self, sock, request):
-        """Return the answer to `request`; raise if it is not whole."""
+        """Return the answer to `request`; raise if it is incomplete or invalid."""
         sock.sendall(render_request(request, self.address))
         parser = AnswerParser(request.method)
         head = self.read_head(sock)
         end = head.index(b"\r\n\r\n") + 4
         check_answer_head(head[:end], request.method)
         parser.feed_first(head)
-        while parser.whole is None:
+        while parser.first_answer is None:
             data = sock.recv(RECEIVE_BYTES)
             if not data:
-                raise BrokenAnswer("the answer ended early")
+                raise InvalidAnswer(
+                    "the connection closed before the answer was complete"
+                )
             parser.feed_first(data)
-        if parser.has_more or parser.should_close():
+        if parser.has_trailing_bytes or parser.should_close():
             sock.close()
         else:
             self.give_back(sock)
-        return parser.whole
+        return parser.first_answer
 
     def read_head(self, sock):
-        """Return the first bytes of an answer, with its whole head."""
+        """Return the first bytes of an answer, including its complete head."""
         data = b""
         while b"\r\n\r\n" not in data:
             if len(data) > MAX_HEADER_BYTES:
-                raise BrokenAnswer("the headers are over the limit")
+                raise InvalidAnswer("the answer headers exceed the size limit")
             more = sock.recv(RECEIVE_BYTES)
             if not more:
-                raise BrokenAnswer("the answer ended early")
+                raise InvalidAnswer(
+                    "the connection closed before the answer was complete"
+                )
             data += more
         return data
 
@@ -240,7 +255,7 @@
 
 
 def is_readable(sock):
-    """Whether anything, also an end, has come on an idle connection."""
+    """Whether bytes or an end of stream arrived on an idle connection."""
     poll = poll_at_once()
     poll.register(sock.fileno(), POLLIN | POLLHUP)
     return bool(poll.poll(0))
--- a/hingepitch/group.py
+++ b/hingepitch/group.py
@@ -2,7 +2,7 @@
 hingepitch.group
 ~~~~~~~~~~~~~~~~
 
-Calls to the control group from outside: finds the leader, tries again.
+Client of the control group: finds the leader and retries calls.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -18,9 +18,9 @@
 
 __all__ = ["GroupClient"]
 
-PAUSE_SECONDS = 0.05
+RETRY_PAUSE_SECONDS = 0.05
 
-#: Codes after which another replica may be asked the same thing.
+#: Transient error codes: another replica may be asked the same.
 PASSING_CODES = frozenset(
     (
         "not_leader",
@@ -39,17 +39,18 @@
     `addresses`
         `IP:port` of the replicas.
     `name`, `key`
-        For the authentication.
+        Caller's name and shared key, for authentication.
     `timeout_seconds`
         Longest wait for one answer of one replica.
     `connections`
-        Calls at once to each replica.
+        Largest number of connections, and so of concurrent calls, to each
+        replica.
     `hint`, `misses`
-        The last address that a replica gave for the leader, and how many
-        calls have missed the leader since the first such hint. Both are
-        forgotten once a leader is found or a hint was followed.
-    `lost_at`
-        Since when no leader has answered, or None while one does.
+        The last address that a replica gave for the leader, and the number
+        of calls that missed the leader since the first such hint. Both are
+        reset when a leader is found or a hint is followed.
+    `leader_lost_at`
+        When the leader stopped answering, or None while one answers.
     """
 
     def __init__(self, addresses, name, key, timeout_seconds=5.0, connections=4):
@@ -59,27 +60,30 @@
         self.timeout_seconds = timeout_seconds
         self.connections = connections
         self.clients_by_address = {}
-        self.turn = 0
+        self.round_robin_count = 0
         self.preferred = self.addresses[0]
         self.misses = 0
         self.hint = ""
-        self.lost_at = None
+        self.leader_lost_at = None
 
     def set_addresses(self, addresses):
-        """Replace the known replicas; connections to others are closed."""
+        """Replace the known replicas and close connections to others.
+
+        Connections to the preferred address stay open.
+        """
         self.addresses = list(addresses)
         for address in self.clients_by_address.keys() - set(addresses):
             if address != self.preferred:
                 self.drop_clients(address)
 
     def drop_clients(self, address):
-        """Close the idle connections to `address` and forget them all."""
+        """Drop all connections to `address` and close the idle ones."""
         for client in self.clients_by_address.pop(address):
             if not client.lock.locked():
                 client.close()
 
     def client(self, address):
-        """Return a free connection to `address`, or the next in turn."""
+        """Return an idle connection to `address`, else the next in round robin."""
         clients = self.clients_by_address.setdefault(address, [])
         for client in clients:
             if not client.lock.locked():
@@ -88,11 +92,11 @@
             fresh = ControlClient(address, self.name, self.key, self.timeout_seconds)
             clients.append(fresh)
             return fresh
-        self.turn += 1
-        return clients[self.turn % len(clients)]
+        self.round_robin_count += 1
+        return clients[self.round_robin_count % len(clients)]
 
     def call_once(self, method, *arguments):
-        """Call the replica that led last; learn who leads if it does not."""
+        """Call the preferred replica once; on a transient error prefer another."""
         address = self.preferred
         try:
             answer = self.client(address).call(method, *arguments)
@@ -101,31 +105,32 @@
         except HingepitchError as error:
             if error.code in PASSING_CODES:
                 self.note_no_leader(address, error)
-                self.prefer_another(address, getattr(error, "leader", ""))
+                self.prefer_next_replica(address, getattr(error, "leader", ""))
             raise
 
     def note_leader(self, address):
-        """Forget the search for the leader; log that it answers again."""
-        self.forget_misses()
-        if self.lost_at is None:
+        """End the search for the leader; log it if the leader had been lost."""
+        self.reset_leader_search()
+        if self.leader_lost_at is None:
             return
-        seconds = round(lease_seconds() - self.lost_at, 3)
-        self.lost_at = None
+        seconds = round(lease_seconds() - self.leader_lost_at, 3)
+        self.leader_lost_at = None
         log_event("leader_found", address=address, seconds=seconds)
 
     def note_no_leader(self, address, error):
-        """Log, once, that the replica that led last does not answer or lead."""
-        if self.lost_at is None:
-            self.lost_at = lease_seconds()
+        """Log once that the last leader does not answer or no longer leads."""
+        if self.leader_lost_at is None:
+            self.leader_lost_at = lease_seconds()
             log_event("leader_lost", address=address, error=error.code)
 
-    def prefer_another(self, address, leader):
-        """Ask the leader next time, or the next replica.
+    def prefer_next_replica(self, address, leader):
+        """Prefer `leader`, or the next known replica, for the next call.
 
-        A leader at an address that the settings do not name is asked after all
-        the named ones, whoever told of it: a replica that lost its disk does
-        not know where one is, and must not make the others forgotten. Callers
-        were refused for 2.3 s until such a replica had joined again.
+        A leader at an address outside the known ones is asked only after all
+        of these, whichever replica named it. The hint also survives answers
+        without one: a replica that lost its disk knows no leader, and dropping
+        the hint then made callers fail for 2.3 s, until that replica had
+        rejoined.
         """
         if self.preferred != address:
             return
@@ -136,21 +141,21 @@
             self.preferred = leader
         elif self.hint and self.misses > len(known):
             self.preferred = self.hint
-            self.forget_misses()
+            self.reset_leader_search()
         else:
             position = known.index(address) if address in known else -1
             self.preferred = known[(position + 1) % len(known)]
 
-    def forget_misses(self):
-        """Begin the search for a leader anew."""
+    def reset_leader_search(self):
+        """Reset the state of the search for the leader."""
         self.misses = 0
         self.hint = ""
 
     def call(self, method, *arguments, seconds=10.0):
-        """Call the leader; try again while the refusal may pass.
+        """Call the leader; retry transient errors for `seconds`.
 
-        Only for calls that may be repeated. Raises the last
-        `HingepitchError` after `seconds`.
+        Only for idempotent calls. Raises the last `HingepitchError` when the
+        time is up.
         """
         deadline = lease_seconds() + seconds
         while True:
@@ -159,13 +164,14 @@
             except HingepitchError as error:
                 if error.code not in PASSING_CODES or lease_seconds() > deadline:
                     raise
-            gevent.sleep(PAUSE_SECONDS)
+            gevent.sleep(RETRY_PAUSE_SECONDS)
 
     def propose(self, envelope, seconds=10.0):
-        """Put a command into the log; return its `Outcome`.
+        """Propose a command for the log; return its `Outcome`.
 
-        With a command id, the command is resent until there is an answer;
-        without one, only refusals that came before the log are tried again.
+        Retries for up to `seconds`. A command with an id is also resent after
+        errors that leave its outcome unknown; one without an id only after
+        errors that show that it did not reach the log.
         """
         deadline = lease_seconds() + seconds
         while True:
@@ -176,7 +182,7 @@
             except HingepitchError as error:
                 if not may_resend(envelope, error) or lease_seconds() > deadline:
                     raise
-            gevent.sleep(PAUSE_SECONDS)
+            gevent.sleep(RETRY_PAUSE_SECONDS)
 
 
 def may_resend(envelope, error):
--- a/hingepitch/httpd.py
+++ b/hingepitch/httpd.py
@@ -2,8 +2,8 @@
 hingepitch.httpd
 ~~~~~~~~~~~~~~~~
 
-The HTTP server of the daemons: strict framing, no delayed small
-writes.
+HTTP server of the daemons, with strict message framing and without
+Nagle's algorithm.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -28,7 +28,7 @@
     "StatusResources",
     "check_framing",
     "make_api",
-    "problem_of",
+    "build_problem",
     "set_problem",
     "split_header_block",
     "wait_until",
@@ -43,7 +43,7 @@
 
 
 class FramingError(ValueError):
-    """A message whose end is not certain; `code` is of the table."""
+    """A message whose end is ambiguous; `code` is a key of `ERROR_BY_CODE`."""
 
     def __init__(self, detail, code="bad_framing"):
         super().__init__(detail)
@@ -54,43 +54,45 @@
     """Yield `(lower-case name, value)` of raw header lines.
 
     Raises `FramingError` for a folded line, a bare line feed, a space
-    before the colon and whatever else is not a header line.
+    before the colon and any other malformed header line.
     """
     for line in lines:
         match = HEADER_LINE.match(line)
         if match is None:
-            raise FramingError(f"not a header line: {line[:64]!r}")
+            raise FramingError(f"malformed header line: {line[:64]!r}")
         yield match.group(1).lower(), match.group(2).strip(b" \t")
 
 
 def check_framing(pairs):
-    """Raise `FramingError` unless the headers give one certain length."""
+    """Raise `FramingError` unless the headers give at most one valid length."""
     lengths = [value for name, value in pairs if name == b"content-length"]
     encodings = [value for name, value in pairs if name == b"transfer-encoding"]
     if len(lengths) > 1 or len(encodings) > 1:
-        raise FramingError("more than one length")
+        raise FramingError("more than one Content-Length or Transfer-Encoding")
     if lengths and encodings:
-        raise FramingError("a length and an encoding")
+        raise FramingError("both Content-Length and Transfer-Encoding")
     if lengths and not LENGTH_VALUE.match(lengths[0]):
-        raise FramingError("not a length")
+        raise FramingError("malformed Content-Length")
     if encodings and encodings[0].lower() != b"chunked":
-        raise FramingError("unknown encoding")
+        raise FramingError("unsupported Transfer-Encoding")
 
 
 class StrictHandler(WSGIHandler):
-    """Handler that refuses ambiguous framing and closes the connection."""
+    """WSGI handler that refuses ambiguous framing and closes the connection."""
 
     def read_requestline(self):
-        """Read the request line; it must end with CR LF and be short."""
+        """Return the request line; mark it bad if it is too long or lacks CR LF."""
         line = self.rfile.readline(MAX_REQUEST_LINE_BYTES + 1)
         if line and not line.endswith(b"\r\n"):
-            self.bad_line = FramingError("bad request line")
+            self.bad_line = FramingError(
+                "the request line is too long or does not end with CR LF"
+            )
             return "BAD / HTTP/1.1\r\n"
         self.bad_line = None
         return line.decode("latin-1")
 
     def MessageClass(self, rfile, seekable):  # noqa: N802
-        """Read and check the header lines; return them parsed."""
+        """Read, check and parse the header lines."""
         if self.bad_line is not None:
             raise self.bad_line
         lines = list(self.read_header_lines(rfile))
@@ -98,38 +100,40 @@
         return super().MessageClass(BytesIO(b"".join(lines) + b"\r\n"), seekable)
 
     def get_environ(self):
-        """Return the WSGI environment, with the path as it came."""
+        """Return the WSGI environment with the undecoded path as `RAW_PATH`."""
         environ = super().get_environ()
         environ["RAW_PATH"] = self.path.partition("?")[0]
         return environ
 
     def read_header_lines(self, rfile):
-        """Yield the raw header lines; raise `FramingError` over the limit."""
+        """Yield the raw header lines; raise `FramingError` if they are too large."""
         left = MAX_HEADER_BYTES
         while True:
             line = rfile.readline(left + 1)
             left -= len(line)
             if left < 0:
-                raise FramingError("headers over the limit", "header_too_large")
+                raise FramingError(
+                    "the headers exceed the size limit", "header_too_large"
+                )
             if line == b"\r\n":
                 return
             if not line.endswith(b"\r\n"):
-                raise FramingError("a header line without its end")
+                raise FramingError("a header line does not end with CR LF")
             yield line
 
     def _handle_client_error(self, ex):
         code = getattr(ex, "code", "bad_request")
         log_event("bad_request", peer=self.client_address[0], code=code, error=ex)
-        body = problem_of(HingepitchError(code, str(ex)), run="not_run")
+        body = build_problem(HingepitchError(code, str(ex)), run="not_run")
         return str(ERROR_BY_CODE[code].status), render_raw(code, body)
 
     def log_error(self, msg, *args):
-        """Log the message as an event."""
+        """Log an error of the handler as `bad_request`."""
         log_event("bad_request", error=msg % args if args else msg)
 
 
 def render_raw(code, body):
-    """Return a whole HTTP answer with the problem details `body`."""
+    """Return the bytes of an HTTP answer with the problem details `body`."""
     data = msgspec.json.encode(body)
     kind = ERROR_BY_CODE[code]
     head = (
@@ -140,11 +144,12 @@
     return head.encode("latin-1") + data
 
 
-def problem_of(error, run=None):
+def build_problem(error, run=None):
     """Return problem details (RFC 9457) for a `HingepitchError`.
 
     `run`
-        `not_run` or `unknown`, for answers to callers' requests.
+        `not_run` or `unknown`: whether a caller's request may have run.
+        None for other requests.
     """
     problem = {
         "type": f"urn:hingepitch:{error.code}",
@@ -161,21 +166,21 @@
 
 
 def set_problem(resp, error, run=None):
-    """Make `resp` the answer for a `HingepitchError`."""
+    """Fill `resp` with the problem details of a `HingepitchError`."""
     resp.status = error.status
     resp.content_type = "application/problem+json"
-    resp.data = msgspec.json.encode(problem_of(error, run))
+    resp.data = msgspec.json.encode(build_problem(error, run))
     if error.retry_after_ms is not None:
         resp.set_header("Retry-After", str(-(-error.retry_after_ms // 1000)))
 
 
 def handle_error(req, resp, error, params):
-    """Answer a `HingepitchError` that a resource raised."""
+    """Answer with the problem details of a `HingepitchError`."""
     set_problem(resp, error)
 
 
 def handle_unexpected(req, resp, error, params):
-    """Answer an exception that nobody expected, and log it."""
+    """Log an unexpected exception and answer with status 500."""
     log_event("child_failed", child="http", error=repr(error), at=place_of(error))
     set_problem(resp, HingepitchError("internal"))
 
@@ -186,7 +191,7 @@
     `is_healthy`
         Function: whether the daemon should get traffic.
     `status`
-        Function: the status as plain values.
+        Function: returns the status as JSON-serializable values.
     `metrics`
         A `hingepitch.metric.Metrics`.
     """
@@ -197,17 +202,17 @@
         self.metrics = metrics
 
     def on_get_health(self, req, resp):
-        """Answer 200 if the daemon should get traffic, else 503."""
+        """Answer with 200 if the daemon should get traffic, else 503."""
         healthy = self.is_healthy()
         resp.status = 200 if healthy else 503
         resp.media = {"healthy": healthy}
 
     def on_get_metrics(self, req, resp):
-        """Answer the metrics in the Prometheus text format."""
+        """Answer with the metrics in the Prometheus text format."""
         resp.data, resp.content_type = self.metrics.render()
 
     def on_get_status(self, req, resp):
-        """Answer the status as JSON."""
+        """Answer with the status as JSON."""
         resp.media = self.status()
 
     def add_to(self, api):
@@ -218,7 +223,7 @@
 
 
 def make_api():
-    """Return a falcon application with the error handling of all daemons."""
+    """Return a falcon application with the daemons' error handlers."""
     api = falcon.App()
     api.add_error_handler(Exception, handle_unexpected)
     api.add_error_handler(HingepitchError, handle_error)
@@ -228,14 +233,14 @@
 
 
 def handle_http_error(req, resp, error, params):
-    """Answer an error of falcon as problem details."""
+    """Answer with a falcon HTTP error as problem details."""
     code = "unknown_object" if error.status_code == 404 else "bad_request"
     set_problem(resp, HingepitchError(code, error.title or ""))
     resp.status = error.status
 
 
 def handle_http_status(req, resp, error, params):
-    """Answer a status raised on purpose."""
+    """Answer with a `falcon.HTTPStatus` that a resource raised."""
     resp.status = error.status
     resp.text = error.text
 
@@ -244,9 +249,9 @@
     """Serves a WSGI application.
 
     `address`
-        `IP:port` to listen at.
+        `IP:port` to listen on.
     `connections`
-        Connections at once; further ones wait to be accepted.
+        Limit of concurrent connections; further ones wait to be accepted.
     """
 
     def __init__(self, address, application, connections=2000):
@@ -262,10 +267,12 @@
             backlog=1024,
         )
         handle = self.server.handle
-        self.server.handle = lambda sock, peer: self.tune(handle, sock, peer)
+        self.server.handle = lambda sock, peer: self.set_socket_options(
+            handle, sock, peer
+        )
 
-    def tune(self, handle, sock, peer):
-        """Set the options of an accepted connection, then handle it."""
+    def set_socket_options(self, handle, sock, peer):
+        """Set the socket options of an accepted connection, then handle it."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.settimeout(IDLE_SECONDS)
         handle(sock, peer)
@@ -276,20 +283,20 @@
         return self.server.started
 
     def start(self):
-        """Listen; raises OSError when the address is taken."""
+        """Start to listen; raise OSError if the address is in use."""
         self.server.start()
 
     def stop(self):
-        """Stop listening and end the connections that are left."""
+        """Stop listening and close the remaining connections."""
         self.server.stop(timeout=0.2)
 
     def stop_accepting(self):
-        """Take no new connection."""
+        """Stop accepting connections."""
         self.server.close()
 
 
 def wait_until(condition, seconds, step=0.02):
-    """Wait until `condition()` holds; return whether it did in time."""
+    """Poll `condition()` for up to `seconds`; return whether it came true."""
     with gevent.Timeout(seconds, False):
         while not condition():
             gevent.sleep(step)
--- a/hingepitch/jsoncall.py
+++ b/hingepitch/jsoncall.py
@@ -2,7 +2,7 @@
 hingepitch.jsoncall
 ~~~~~~~~~~~~~~~~~~~
 
-One JSON call over HTTP, for the clients of APIs.
+JSON request over HTTP, for API clients.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -22,9 +22,10 @@
 
 
 def call_json(address, method, path, body=None, headers=None, timeout_seconds=30.0):
-    """Return `(status, answer)` of one call; the answer is decoded JSON.
+    """Send one request; return its status and its decoded JSON answer.
 
-    Raises `HingepitchError` (`peer_failed`) when there is no whole answer.
+    Raises `HingepitchError` (`peer_failed`) if there is no complete, valid
+    answer.
     """
     host, port = parse_address(address)
     data = b"" if body is None else json.dumps(body).encode()
--- a/hingepitch/log.py
+++ b/hingepitch/log.py
@@ -2,7 +2,7 @@
 hingepitch.log
 ~~~~~~~~~~~~~~
 
-Log lines: one line of key=value pairs for each event.
+Structured logging: one line of key=value pairs for each event.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -26,10 +26,10 @@
     "place_of",
 ]
 
-#: Folder of the product in the names of its source files.
+#: Package folder, as part of the names of source files.
 PACKAGE = "hingepitch/"
 
-#: Every event name with its level.
+#: Log level by event name.
 EVENTS = {
     "started": "INFO",
     "stopped": "INFO",
@@ -111,12 +111,12 @@
 
 
 def format_pairs(pairs):
-    """Return `pairs` as one line; no value can add a pair or a line."""
+    """Return `pairs` as one line, escaped so that no value adds a pair or line."""
     return " ".join(f"{key}={quote_value(value)}" for key, value in pairs.items())
 
 
 def quote_value(value):
-    """Return `value` as a bare word, or quoted and escaped."""
+    """Return `value` bare if it is a plain word, else quoted and escaped."""
     text = str(value)
     if PLAIN_VALUE.match(text):
         return text
@@ -125,12 +125,12 @@
 
 
 def log_event(event, **pairs):
-    """Log `event`, a name of `EVENTS`, with `pairs`.
+    """Log `event`, a key of `EVENTS`, with `pairs`.
 
-    Lines beyond the limit of a second are counted, and the count is logged in
-    the next one.
+    Lines over the rate limit are only counted; the counts of a second are
+    logged by the first call in a later second.
     """
-    for withheld, count in LIMIT.turn().items():
+    for withheld, count in LIMIT.take_withheld().items():
         write_event("lines_withheld", {"of": withheld, "count": count})
     if LIMIT.admits(event):
         write_event(event, pairs)
@@ -142,23 +142,28 @@
 
 
 def place_of(error):
-    """Return the file and line where `error` was raised in the product."""
+    """Return `FILE:LINE` of the innermost frame of `error` in this package.
+
+    Without such a frame, the innermost frame of all is taken.
+    """
     frames = traceback.extract_tb(error.__traceback__)
     own = [frame for frame in frames if PACKAGE in frame.filename] or frames
     return f"{own[-1].filename.rpartition(PACKAGE)[2]}:{own[-1].lineno}"
 
 
 def make_log_buffer(stream):
-    """Return a `LineBuffer` for `stream` that logs how much it had to drop."""
+    """Return a `LineBuffer` for `stream` that logs the number of dropped lines."""
     return LineBuffer(stream, lambda count: log_event("lines_dropped", count=count))
 
 
 def configure_log(program, level="INFO", write=None):
-    """Send the log lines of `program` to `write`, default standard error.
+    """Configure logging for `program`.
 
+    `level`
+        Lowest level that is logged.
     `write`
-        Function that takes a line; `LineBuffer.write` for a daemon. A stream
-        would be flushed after each line.
+        Function that takes a line; `LineBuffer.write` in a daemon, because a
+        stream would be flushed after each line. Default: standard error.
     """
     logger.remove()
     logging.getLogger("thrift").setLevel(logging.CRITICAL)
--- a/hingepitch/logsink.py
+++ b/hingepitch/logsink.py
@@ -2,8 +2,7 @@
 hingepitch.logsink
 ~~~~~~~~~~~~~~~~~~
 
-Where log lines go: a stream that is never waited for, and a limit on how
-many lines of one event are written in a second.
+Non-blocking output of log lines, and a rate limit for each event.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -20,31 +19,33 @@
 
 __all__ = ["EventLimit", "LineBuffer"]
 
-#: Lines that the stream has not taken are kept up to this size, in bytes, about a
-#: second of lines under full load; later ones are dropped and counted.
+#: Limit of the buffered lines, in bytes: about one second of lines under full
+#: load. Lines over it are dropped and counted.
 MAX_KEPT_BYTES = 262_144
 
-#: Bytes in one write: a pipe that is writable takes as many without blocking
-#: (PIPE_BUF).
+#: Bytes in one write: a writable pipe accepts this many (PIPE_BUF) without
+#: blocking.
 WRITE_BYTES = 4096
 
-#: Time between two writes, in seconds: lines of that time go out together.
+#: Interval between flushes, in seconds; lines of one interval are written together.
 FLUSH_SECONDS = 0.05
 
-#: Longest time for the rest of the lines when a program ends, in seconds, and how
-#: long one write of it is waited for, in milliseconds.
+#: Longest time to write the remaining lines when a program ends, in seconds, and
+#: to wait until the stream is writable, in milliseconds.
 CLOSE_SECONDS = 0.2
 CLOSE_POLL_MS = 20
 
-#: Lines of one event in a second; beyond, they are only counted.
+#: Limit of lines of one event in a second; further ones are only counted.
 LINES_PER_SECOND = 500
 
 
 class EventLimit:
-    """Bounds the lines of each event in each second.
+    """Limits the number of lines of each event in each second.
 
     `clock`
-        Function: seconds on a steady clock.
+        Function: seconds on a monotonic clock.
+    `lines_per_second`
+        Limit for each event.
     """
 
     def __init__(self, clock=lease_seconds, lines_per_second=LINES_PER_SECOND):
@@ -54,12 +55,12 @@
         self.count_by_event = Counter()
 
     def admits(self, event):
-        """Whether a line of `event` may be written now; count it."""
+        """Count a line of `event`; return whether it may be written."""
         self.count_by_event[event] += 1
         return self.count_by_event[event] <= self.lines_per_second
 
-    def turn(self):
-        """Return the lines withheld, by event, of a second that is over."""
+    def take_withheld(self):
+        """Return the number of withheld lines by event, once a second is over."""
         second = int(self.clock())
         if second == self.second:
             return {}
@@ -73,20 +74,22 @@
 
 
 class LineBuffer:
-    """Keeps lines until the stream takes them without waiting.
+    """Buffers lines until the stream accepts them without blocking.
 
-    `write` and `flush` let no other greenlet run: whoever logs may be in the
-    middle of one step.
+    `write` and `flush` never switch to another greenlet, because their caller
+    may rely on an uninterrupted step.
 
     `stream`
         An open file with a descriptor.
-    `note_drops`
-        Function: called with the number of lines that were dropped.
+    `on_drop`
+        Function: called with the number of dropped lines.
+    `max_bytes`
+        Limit of the buffered bytes.
     """
 
-    def __init__(self, stream, note_drops, max_bytes=MAX_KEPT_BYTES):
+    def __init__(self, stream, on_drop, max_bytes=MAX_KEPT_BYTES):
         self.fd = stream.fileno()
-        self.note_drops = note_drops
+        self.on_drop = on_drop
         self.max_bytes = max_bytes
         self.lines = deque()
         self.size = 0
@@ -95,7 +98,7 @@
         self.poll.register(self.fd, POLLOUT)
 
     def write(self, line):
-        """Keep a line, or drop it where too many wait."""
+        """Buffer a line, or drop and count it if the buffer is full."""
         data = line.encode()
         if self.size + len(data) > self.max_bytes:
             self.dropped += 1
@@ -104,15 +107,15 @@
         self.size += len(data)
 
     def flush(self):
-        """Write what the stream takes at once."""
+        """Write what the stream accepts without blocking; report dropped lines."""
         while self.lines and self.poll.poll(0):
             self.write_some()
         if self.dropped and not self.lines:
             dropped, self.dropped = self.dropped, 0
-            self.note_drops(dropped)
+            self.on_drop(dropped)
 
     def write_some(self):
-        """Write as many lines as go into one write."""
+        """Write up to `WRITE_BYTES` of the buffered lines."""
         chunk = bytearray()
         while self.lines and (not chunk or self.fits(chunk)):
             chunk += self.lines.popleft()
@@ -124,17 +127,17 @@
             self.size += len(rest)
 
     def fits(self, chunk):
-        """Whether the next line fits into the same write."""
+        """Whether the next line fits into the same write as `chunk`."""
         return len(chunk) + len(self.lines[0]) <= WRITE_BYTES
 
     def keep_flushing(self):
-        """Flush again and again, until killed."""
+        """Flush periodically until killed."""
         while True:
             gevent.sleep(FLUSH_SECONDS)
             self.flush()
 
     def close(self, seconds=CLOSE_SECONDS):
-        """Write the rest, as far as the stream takes it in time."""
+        """Write the remaining lines for up to `seconds`."""
         until = lease_seconds() + seconds
         while self.lines and lease_seconds() < until:
             if self.poll.poll(CLOSE_POLL_MS):
@@ -143,9 +146,10 @@
 
 
 def write_at_once(fd, data):
-    """Write to a descriptor that is writable; return how many bytes it took.
+    """Write to a writable descriptor; return the number of bytes written.
 
-    A reader that has gone leaves nobody to tell: the lines are given up.
+    On an error, such as a closed pipe, the bytes count as written: they are
+    discarded, because the error cannot be logged anywhere.
     """
     try:
         return os.write(fd, data)
--- a/hingepitch/metric.py
+++ b/hingepitch/metric.py
@@ -35,14 +35,14 @@
 
 
 class Metrics:
-    """The metrics of one process.
+    """Metrics of one process.
 
     `program`
         Label on every metric.
     `registry`, `histograms`
-        Counters and gauges, which are rendered first, and histograms. Readers
-        that keep only the beginning of the text (4 KB were seen) lost every
-        counter of a leader behind the buckets of one histogram.
+        Registry of counters and gauges, and registry of histograms. The
+        former is rendered first: some scrapers keep only the beginning of
+        the text (the first 4 KB), which histogram buckets can fill.
     `probes`
         Functions that set gauges, called before each rendering.
     """
@@ -56,7 +56,7 @@
         self.started = lease_seconds()
 
     def make(self, kind, name, doc, **options):
-        """Return the metric `name`, made on first use."""
+        """Return the metric `name`, created on first use."""
         metric = self.metric_by_name.get(name)
         if metric is None:
             metric = kind(
@@ -78,12 +78,12 @@
         self.make(Gauge, name, doc).set(labels, value)
 
     def observe(self, name, doc, seconds, **labels):
-        """Add a duration to the histogram `name`."""
+        """Record a duration, in seconds, in the histogram `name`."""
         metric = self.make(Histogram, name, doc, buckets=SECONDS_BUCKETS)
         metric.observe(labels, seconds)
 
     def render(self):
-        """Return `(bytes, content type)` of all metrics."""
+        """Return all metrics as `(bytes, content type)`."""
         for probe in self.probes:
             probe()
         usage = resource.getrusage(resource.RUSAGE_SELF)
--- a/hingepitch/patch.py
+++ b/hingepitch/patch.py
@@ -2,7 +2,7 @@
 hingepitch.patch
 ~~~~~~~~~~~~~~~~
 
-Patches the standard library for gevent; called before other imports.
+Patches the standard library for gevent, before other imports.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -12,13 +12,13 @@
 
 __all__ = ["patch_program", "poll_at_once"]
 
-#: Makes a poll that asks the system itself. A patched one waits in the hub until
-#: no other greenlet is ready, even for no time.
+#: Unpatched `select.poll`. The patched one switches to the hub until no other
+#: greenlet is ready, even with a timeout of 0.
 poll_at_once = monkey.get_original("select", "poll")
 
 
 def patch_program():
-    """Choose libev with epoll and patch the standard library."""
+    """Select libev with epoll as event loop and patch the standard library."""
     config.loop = "libev-cext"
     config.libev_backend = "epoll"
     monkey.patch_all()
--- a/hingepitch/peerbook.py
+++ b/hingepitch/peerbook.py
@@ -2,7 +2,7 @@
 hingepitch.peerbook
 ~~~~~~~~~~~~~~~~~~~
 
-The addresses of the control replicas: learnt, passed on, remembered.
+Registry of the control replicas' addresses, kept on disk.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -23,7 +23,7 @@
 
 __all__ = ["PeerBook", "decode_rows"]
 
-#: How often the members are asked for, in seconds.
+#: Interval between requests for the members, in seconds.
 REFRESH_SECONDS = 2.0
 
 FILE_NAME = "peers"
@@ -31,22 +31,24 @@
 
 
 def decode_rows(answer):
-    """Return the list of `MemberRow` of an answer; raise `bad_request`.
+    """Return the `MemberRow`s of an answer; raise `bad_request` if malformed.
 
-    Those that cannot be called are left out.
+    Rows without a valid address are logged and left out.
     """
     try:
         rows = ROWS_DECODER.decode(answer)
     except (msgspec.MsgspecError, TypeError, RecursionError) as error:
-        raise HingepitchError("bad_request", f"not members: {error}") from None
-    callable_rows = [row for row in rows if is_callable(row)]
-    if len(callable_rows) < len(rows):
-        log_event("rows_unread", of="members", count=len(rows) - len(callable_rows))
-    return callable_rows
+        raise HingepitchError(
+            "bad_request", f"malformed member list: {error}"
+        ) from None
+    valid_rows = [row for row in rows if has_valid_address(row)]
+    if len(valid_rows) < len(rows):
+        log_event("rows_unread", of="members", count=len(rows) - len(valid_rows))
+    return valid_rows
 
 
-def is_callable(row):
-    """Whether the address of a member is one."""
+def has_valid_address(row):
+    """Whether the address of a member has the form `IP:port`."""
     try:
         check_address(row.address)
     except ValueError:
@@ -55,12 +57,12 @@
 
 
 class PeerBook:
-    """Where the control replicas take calls.
+    """RPC addresses of the control replicas.
 
     `seeds`
         Addresses from the settings; they may be stale.
     `folder`
-        Data folder in which the book is remembered, or None.
+        Data folder in which the registry is saved, or None.
     `disk`
         A `hingepitch.disk.Disk`.
     """
@@ -73,7 +75,7 @@
         self.lock = BoundedSemaphore(1)
 
     def load(self):
-        """Read what was remembered; an unreadable book is left aside."""
+        """Load the saved registry; log and ignore an unreadable file."""
         if self.path is None or not self.path.exists():
             return
         try:
@@ -82,17 +84,20 @@
             log_event("storage_failed", file=FILE_NAME, error=error)
 
     def addresses(self):
-        """Return all known addresses, the members' first."""
+        """Return all known addresses: the members', then the seeds."""
         return list(dict.fromkeys([row.address for row in self.rows] + self.seeds))
 
     def address_of(self, identity):
-        """Return the address of a replica, or None."""
+        """Return the address of the replica `identity`, or None."""
         return next(
             (row.address for row in self.rows if row.identity == identity), None
         )
 
     def learn(self, rows):
-        """Take over newer rows, and remember them."""
+        """Replace the rows with newer ones; save them if they changed.
+
+        An empty list is ignored.
+        """
         if not rows:
             return
         known = {(row.identity, row.address) for row in self.rows}
@@ -101,22 +106,23 @@
             self.save()
 
     def save(self):
-        """Remember the book; without it, only the seeds are known at a start.
+        """Save the registry; without it, only the seeds are known at a start.
 
-        It is synced: written without, it was torn by each loss of power. The
-        sync waits in a thread, so that a slow disk holds nobody else up.
+        The file is synced, because a power loss tore the unsynced file. The
+        write runs in a thread, so that a slow disk does not block the event
+        loop.
         """
         try:
-            # The announcer learns rows too; both would write the same file.
+            # The announcer updates rows too; both would write the same file.
             with self.lock:
                 run_off_loop(write_whole, self.disk, self.path, encode(self.rows))
         except OSError as error:
             log_event("storage_failed", file=FILE_NAME, error=error)
 
     def keep_fresh(self, *groups):
-        """Ask the first of `groups` for the members, again and again.
+        """Periodically ask the first of `groups` for the members.
 
-        All of `groups` get the addresses.
+        Passes the addresses on to all `groups`.
         """
         while True:
             asked = groups[0].preferred
--- a/hingepitch/request.py
+++ b/hingepitch/request.py
@@ -15,14 +15,14 @@
 
 
 class Run(enum.Enum):
-    """What a caller may believe of a request without an answer."""
+    """Whether a request without an answer may have been executed."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
 
 
 class Priority(enum.IntEnum):
-    """Urgency of a request; the lowest number is served first."""
+    """Priority of a request; the lowest number is served first."""
 
     URGENT = 0
     NORMAL = 1
@@ -34,9 +34,11 @@
     """A caller's request.
 
     `target`
-        Path and query for the minion, as they came.
+        Path and query for the minion, unmodified.
     `deadline`
-        On the clock of `hingepitch.clock.lease_seconds`.
+        Time in seconds on the clock `hingepitch.clock.lease_seconds`.
+    `key`
+        Idempotency key, or an empty string.
     """
 
     service: str
@@ -51,10 +53,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer.
+    """A complete answer of a minion.
 
     `headers`
-        Without the ones that belong to one connection.
+        Headers without the hop-by-hop ones.
     """
 
     status: int
@@ -64,10 +66,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """Why there is no answer.
+    """The reason why a request has no answer.
 
     `code`
-        Of the table in `hingepitch.error`.
+        Key of `hingepitch.error.ERROR_BY_CODE`.
     `run`
         NOT_RUN only if no byte was handed to any minion's socket.
     """
--- a/hingepitch/rpc.py
+++ b/hingepitch/rpc.py
@@ -2,7 +2,7 @@
 hingepitch.rpc
 ~~~~~~~~~~~~~~
 
-Thrift calls between the processes: framed, size-limited,
+Thrift RPC between the processes: framed, size-limited and
 authenticated.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
@@ -30,17 +30,17 @@
 __all__ = ["ControlClient", "RpcServer", "refused"]
 
 MAX_FRAME_BYTES = 64_000_000
-MAX_STRANGER_FRAME_BYTES = 4096
+MAX_UNAUTHENTICATED_FRAME_BYTES = 4096
 CHALLENGE_BYTES = 32
 IDLE_SECONDS = 120
 
-#: What a call may meet: no connection, or an answer or an address that cannot be
-#: read. Thrift raises the last three for bytes that make no answer.
+#: Errors of a call: connection failure, malformed answer or malformed address.
+#: Thrift raises the last three types for bytes that it cannot decode.
 CALL_ERRORS = (TException, OSError, EOFError, ValueError, TypeError, OverflowError)
 
 
 class LimitedTransport(TFramedTransport):
-    """Framed transport that refuses frames over `max_frame_bytes`."""
+    """Framed transport that refuses frames larger than `max_frame_bytes`."""
 
     max_frame_bytes = MAX_FRAME_BYTES
 
@@ -50,14 +50,14 @@
         size = int.from_bytes(head, "big", signed=True)
         if not 0 <= size <= self.max_frame_bytes:
             raise TTransportException(
-                TTransportException.SIZE_LIMIT, f"frame of {size} bytes"
+                TTransportException.SIZE_LIMIT, f"invalid frame size: {size} bytes"
             )
         body = self._TFramedTransport__trans.readAll(size)
         self._TFramedTransport__rbuf = type(self._TFramedTransport__rbuf)(body)
 
 
 def make_protocol(transport):
-    """Return the protocol of both ends over `transport`."""
+    """Return the thrift protocol that clients and servers use."""
     return TBinaryProtocolAccelerated(
         transport,
         string_length_limit=MAX_FRAME_BYTES,
@@ -66,47 +66,49 @@
 
 
 def compute_mac(key, challenge, name):
-    """Return the proof that `name` knows the shared `key`."""
+    """Return the MAC by which `name` proves that it knows the shared `key`."""
     return hmac.digest(key.encode(), challenge + name.encode(), "sha256")
 
 
 def refused(error):
-    """Return a `HingepitchError` as the exception of the protocol."""
+    """Return a `HingepitchError` as the thrift exception `Refused`."""
     return Refused(error.code, error.detail, error.retry_after_ms)
 
 
 class Connection:
-    """One accepted connection: refuses calls until it is authenticated.
+    """One accepted connection; refuses calls until it is authenticated.
 
     `handler`
-        The object that answers the calls of a known process.
+        Object that implements the calls for authenticated peers.
+    `key`
+        The shared key.
     """
 
     def __init__(self, handler, key):
         self.handler = handler
         self.key = key
         self.nonce = os.urandom(CHALLENGE_BYTES)
-        self.known = False
+        self.is_authenticated = False
 
     def challenge(self):
-        """Return what the caller has to sign."""
+        """Return the nonce that the caller has to sign."""
         return self.nonce
 
     def authenticate(self, name, mac):
-        """Check the signature of the caller."""
+        """Check the MAC of the caller; raise `Refused` if it is wrong."""
         if not hmac.compare_digest(compute_mac(self.key, self.nonce, name), mac):
             log_event("stranger_refused", name=name)
             raise Refused("unauthenticated", "wrong key")
-        self.known = True
+        self.is_authenticated = True
 
     def __getattr__(self, method):
-        if not self.known:
+        if not self.is_authenticated:
             raise Refused("unauthenticated", "authenticate first")
-        return guard(getattr(self.handler, method))
+        return translate_errors(getattr(self.handler, method))
 
 
-def guard(method):
-    """Return `method` with its coded errors turned into `Refused`."""
+def translate_errors(method):
+    """Return `method` with each `HingepitchError` raised as `Refused`."""
 
     def call(*arguments):
         try:
@@ -121,7 +123,7 @@
     """Serves the calls of other processes.
 
     `address`
-        `IP:port` to listen at.
+        `IP:port` to listen on.
     `handler`
         Object with the methods of the Control service.
     `key`
@@ -142,28 +144,28 @@
         return self.server.started
 
     def start(self):
-        """Listen; raises OSError when the address is taken."""
+        """Start to listen; raise OSError if the address is in use."""
         self.server.start()
 
     def stop(self):
-        """Stop listening and end the connections."""
+        """Stop listening and close the connections."""
         self.server.stop(timeout=0.5)
 
     def serve(self, sock, peer):
-        """Answer the calls on one connection until it ends."""
+        """Answer the calls on one connection until it is closed."""
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.settimeout(IDLE_SECONDS)
         inner = TSocket()
         inner.setHandle(sock)
         transport = LimitedTransport(inner)
-        transport.max_frame_bytes = MAX_STRANGER_FRAME_BYTES
+        transport.max_frame_bytes = MAX_UNAUTHENTICATED_FRAME_BYTES
         connection = Connection(self.handler, self.key)
         processor = Control.Processor(connection)
         protocol = make_protocol(transport)
         try:
             while True:
                 processor.process(protocol, protocol)
-                if connection.known:
+                if connection.is_authenticated:
                     transport.max_frame_bytes = MAX_FRAME_BYTES
         except TTransportException as error:
             if error.type == TTransportException.SIZE_LIMIT:
@@ -175,10 +177,10 @@
 
 
 class ControlClient:
-    """One connection to the Control service, made anew when it breaks.
+    """One connection to the Control service, reopened after a failure.
 
     `address`
-        `IP:port` of the process.
+        `IP:port` of the server.
     `name`
         Name of the caller.
     `key`
@@ -186,9 +188,9 @@
     `timeout_seconds`
         Longest wait for an answer.
 
-    Calls go one after another. They raise `HingepitchError`: the code of
-    the other side, `peer_unreachable` when the call was surely not sent, or
-    `peer_failed` when there is no answer.
+    Calls are serialized. They raise `HingepitchError` with the code that the
+    server sent, `peer_unreachable` if the call was certainly not sent, or
+    `peer_failed` if it was sent and there is no answer.
     """
 
     def __init__(self, address, name, key, timeout_seconds=5.0):
@@ -213,7 +215,7 @@
         self.stub.authenticate(self.name, mac)
 
     def call(self, method, *arguments):
-        """Call `method` of the service and return its answer."""
+        """Call `method` of the service; return its result."""
         with self.lock:
             code = "peer_unreachable"
             try:
@@ -233,7 +235,7 @@
                 raise
 
     def to_error(self, error):
-        """Return the exception for a refusal of the other side."""
+        """Return the `HingepitchError` for a `Refused` of the server."""
         if error.code == "unauthenticated":
             self.close()
         code = error.code if error.code in ERROR_BY_CODE else "internal"
@@ -242,7 +244,7 @@
         return made
 
     def close(self):
-        """Close the connection, if there is one."""
+        """Close the connection if it is open."""
         if self.transport is not None:
             self.transport.close()
         self.transport = None
--- a/hingepitch/setting.py
+++ b/hingepitch/setting.py
@@ -2,7 +2,7 @@
 hingepitch.setting
 ~~~~~~~~~~~~~~~~~~
 
-Settings files: read, validated at once, every fault reported.
+Loading and validation of settings files.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -30,15 +30,15 @@
     "validate_faults",
 ]
 
-#: What a YAML file raises that cannot be read: ValueError and AttributeError come
-#: from dates and numbers that are none.
+#: Errors raised for a YAML file that cannot be read or parsed. PyYAML raises
+#: ValueError and AttributeError for malformed dates and numbers.
 FILE_ERRORS = (OSError, yaml.YAMLError, ValueError, AttributeError, RecursionError)
 
 MIN_SHARED_KEY_CHARS = 16
 
 
 def parse_address(text):
-    """Return `(ip, port)` of `text`, which is `IP:port`; raise ValueError."""
+    """Return `(ip, port)` of the text `IP:port`; raise ValueError if malformed."""
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
@@ -51,7 +51,7 @@
 
 
 def check_address(text):
-    """Return `text` if it is `IP:port`; raise ValueError."""
+    """Return `text` if it has the form `IP:port`; raise ValueError otherwise."""
     parse_address(text)
     return text
 
@@ -61,7 +61,7 @@
 
 
 class Settings(BaseModel):
-    """Base of every settings model: unknown keys are refused."""
+    """Base of every settings model; refuses unknown keys."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -75,18 +75,18 @@
 
 
 class DaemonSettings(Settings):
-    """What every daemon has.
+    """Settings that every daemon has.
 
     `name`
-        The name of this process, unique in the system.
+        Name of this process, unique in the system.
     `hall`
-        The hall of this process.
+        Hall of this process.
     `http_address`
-        Where this process serves HTTP.
+        `IP:port` on which this process serves HTTP.
     `shared_key`
-        The secret by which the processes of the system know each other.
+        Secret with which the processes authenticate each other.
     `log_level`
-        Default: INFO.
+        Lowest level that is logged. Default: INFO.
     """
 
     name: Name
@@ -97,12 +97,12 @@
 
 
 def hash_token(token):
-    """Return the form of an operator's token that lies in the settings."""
+    """Return the SHA-256 digest of an operator's token, as settings hold it."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def format_path(location):
-    """Return the path of a fault, like `control.peers[1].address`."""
+    """Return the path of a validation error, like `control.peers[1].address`."""
     path = ""
     for part in location:
         path += f"[{part}]" if isinstance(part, int) else f".{part}"
@@ -110,16 +110,16 @@
 
 
 def validate_faults(error):
-    """Yield one line for each fault of a pydantic ValidationError."""
+    """Yield one line for each error in a pydantic ValidationError."""
     for fault in error.errors():
         message = fault["msg"].removeprefix("Value error, ")
         yield f"{format_path(fault['loc'])}: {message}"
 
 
 def load_settings(model, path):
-    """Return the settings of `path` as `model`.
+    """Return the settings in the YAML file `path` as an instance of `model`.
 
-    Raises `HingepitchError` (`bad_settings`) with one line for each fault.
+    Raises `HingepitchError` (`bad_settings`) with one line for each error.
     """
     try:
         with open(path, encoding="utf-8") as file:
--- a/hingepitch/supervisor.py
+++ b/hingepitch/supervisor.py
@@ -2,7 +2,7 @@
 hingepitch.supervisor
 ~~~~~~~~~~~~~~~~~~~~~
 
-A tree of greenlets: a child that dies is restarted with back-off.
+Runs functions as greenlets and restarts failed ones with backoff.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -19,14 +19,14 @@
 __all__ = ["Supervisor"]
 
 FIRST_BACKOFF_SECONDS = 0.05
-LONGEST_BACKOFF_SECONDS = 2.0
+MAX_BACKOFF_SECONDS = 2.0
 
-#: Doublings of the pause that are reckoned with; more than it takes to get from
-#: the first one to the longest.
-MOST_DOUBLINGS = 16
+#: Limit of the exponent of the backoff; more doublings than it takes to get from
+#: the first pause to the longest.
+MAX_DOUBLINGS = 16
 
-#: Codes after which the process has to stop: it must not act on what it holds.
-BROKEN_CODES = frozenset(("broken_invariant", "storage_damaged"))
+#: Error codes that stop the process: it must not act on the state it holds.
+FATAL_CODES = frozenset(("broken_invariant", "storage_damaged"))
 
 
 @dataclass(slots=True)
@@ -34,7 +34,7 @@
     """One supervised function.
 
     `started`
-        When it was last started, on `lease_seconds`.
+        Time of the latest start, on the clock `lease_seconds`.
     """
 
     name: str
@@ -46,21 +46,24 @@
 class Supervisor:
     """Runs functions as greenlets and restarts the ones that fail.
 
-    A child fails by what others send, or by the disk, as often as they like. A
-    process that ended for that would meet the same when it is started again,
-    and its other children would be gone meanwhile: only an error of
-    `BROKEN_CODES` ends it.
+    Input from other processes or the disk can make a child fail any number of
+    times. Ending the process would not help: the restarted process would get
+    the same input, and its other children would be down meanwhile. Only an
+    error of `FATAL_CODES` therefore ends it.
 
+    `stop_process`
+        Function: called when the process has to stop, with whether an error
+        of `FATAL_CODES` is the reason.
     `max_failures`
-        Failures of one child within `window_seconds` before the whole
-        process stops. Default: None, which is never.
+        Failures of one child within `window_seconds` after which the
+        process stops. Default: None, for no limit.
     `window_seconds`
-        A child that lived longer than this starts anew with no failures.
+        A child that ran longer than this has its failures reset.
         Default: 30.
     """
 
-    def __init__(self, give_up, max_failures=None, window_seconds=30):
-        self.give_up = give_up
+    def __init__(self, stop_process, max_failures=None, window_seconds=30):
+        self.stop_process = stop_process
         self.max_failures = max_failures
         self.window_seconds = window_seconds
         self.greenlet_by_name = {}
@@ -69,10 +72,10 @@
     def start(self, name, run):
         """Run `run()` under the name `name` until `stop`."""
         child = self.child_by_name[name] = Child(name, run)
-        self.greenlet_by_name[name] = gevent.spawn(self.keep_running, child)
+        self.greenlet_by_name[name] = gevent.spawn(self.run_child, child)
 
-    def keep_running(self, child):
-        """Run `child` until it returns by itself or fails too often."""
+    def run_child(self, child):
+        """Run `child`, with restarts, until it returns or fails for good."""
         while True:
             child.started = lease_seconds()
             try:
@@ -81,26 +84,26 @@
             except gevent.GreenletExit:
                 return
             except Exception as error:
-                if self.has_lived(child):
+                if self.has_outlived_window(child):
                     child.failures = 0
                 self.note_failure(child, error)
             gevent.sleep(self.backoff_seconds(child))
 
-    def has_lived(self, child):
-        """Whether a child has run long enough for its failures to be over."""
+    def has_outlived_window(self, child):
+        """Whether a child has run longer than the failure window."""
         return lease_seconds() - child.started > self.window_seconds
 
     @property
     def failing(self):
-        """The names of the children that failed lately, in the order of start."""
+        """Names of the children that failed recently, in the order of start."""
         return [
             name
             for name, child in self.child_by_name.items()
-            if child.failures and not self.has_lived(child)
+            if child.failures and not self.has_outlived_window(child)
         ]
 
     def note_failure(self, child, error):
-        """Log a failure; stop the process when there were too many."""
+        """Log a failure; stop the process if it is fatal or one too many."""
         child.failures += 1
         log_event(
             "child_failed",
@@ -109,20 +112,20 @@
             error=repr(error),
             at=place_of(error),
         )
-        broken = isinstance(error, HingepitchError) and error.code in BROKEN_CODES
+        broken = isinstance(error, HingepitchError) and error.code in FATAL_CODES
         if broken or child.failures == self.max_failures:
             log_event("child_gave_up", child=child.name)
-            self.give_up(broken)
+            self.stop_process(broken)
             raise gevent.GreenletExit
 
     def backoff_seconds(self, child):
-        """Return the pause before the next start of `child`."""
-        doublings = min(child.failures - 1, MOST_DOUBLINGS)
+        """Return the backoff before the next start of `child`, in seconds."""
+        doublings = min(child.failures - 1, MAX_DOUBLINGS)
         doubled = FIRST_BACKOFF_SECONDS * 2**doublings
-        return min(doubled, LONGEST_BACKOFF_SECONDS)
+        return min(doubled, MAX_BACKOFF_SECONDS)
 
     def stop(self):
-        """Kill every child and wait for it."""
+        """Kill every child and wait up to 5 s for them to end."""
         gevent.killall(list(self.greenlet_by_name.values()), timeout=5)
         self.greenlet_by_name.clear()
         self.child_by_name.clear()
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -8,7 +8,7 @@
 from hingepitch.control.settings import ControlSettings
 from hingepitch.entry.settings import EntrySettings
 from hingepitch.error import HingepitchError
-from hingepitch.exchange import BrokenAnswer, check_answer_head
+from hingepitch.exchange import InvalidAnswer, check_answer_head
 from hingepitch.httpd import FramingError, StrictHandler, check_framing
 from hingepitch.log import format_pairs
 from hingepitch.model.border import parse_object
@@ -172,7 +172,7 @@
     ],
 )
 def test_answers_without_a_certain_end_are_refused(head):
-    with pytest.raises((BrokenAnswer, ValueError)):
+    with pytest.raises((InvalidAnswer, ValueError)):
         check_answer_head(head, "GET")
 
 
--- a/tests/test_child_failures.py
+++ b/tests/test_child_failures.py
@@ -47,7 +47,7 @@
 
 @pytest.fixture(autouse=True)
 def short_pauses(monkeypatch):
-    monkeypatch.setattr(supervisor, "LONGEST_BACKOFF_SECONDS", 0.01)
+    monkeypatch.setattr(supervisor, "MAX_BACKOFF_SECONDS", 0.01)
 
 
 @pytest.mark.parametrize("error", [ValueError("x"), HingepitchError("bad_request")])
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -165,14 +165,14 @@
     proxy = Proxy(follower, balancer, None, Metrics("test"))
     ports = {f"v{number}": fake.address for number, fake in enumerate(fakes)}
 
-    def send_to(desk, chosen, sent):
+    def send_to(context, chosen, sent):
         vm, health = chosen
         try:
             result = MinionConnections(ports[vm.name]).exchange(sent)
-            proxy.learn(health, result, desk.service)
+            proxy.record_result(health, result, context.service)
             return result
         finally:
-            desk.queue.release(health)
+            context.queue.release(health)
 
     proxy.send_to = send_to
     return proxy
@@ -198,7 +198,7 @@
     first = Failure("minion_failed", Run.UNKNOWN)
     second = Failure("overloaded", Run.NOT_RUN)
     proxy = make_proxy([])
-    assert proxy.better(first, second).run is Run.UNKNOWN
+    assert proxy.choose_result(first, second).run is Run.UNKNOWN
 
 
 def test_entry_without_a_lease_takes_nothing(minion):
--- a/tests/test_frame.py
+++ b/tests/test_frame.py
@@ -148,7 +148,7 @@
     asked = []
     for _ in range(3):
         asked.append(group.preferred)
-        group.prefer_another(group.preferred, "127.0.0.1:9")
+        group.prefer_next_replica(group.preferred, "127.0.0.1:9")
     assert asked == ["127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:1"]
     assert group.preferred == "127.0.0.1:9"
 
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -63,12 +63,12 @@
 def test_a_hint_that_led_nowhere_is_not_followed_for_ever():
     group = Group()
     for _ in range(CALLS):
-        group.prefer_another(group.preferred, "10.0.0.8:1")
+        group.prefer_next_replica(group.preferred, "10.0.0.8:1")
         if group.preferred == "10.0.0.8:1":
             break
-    group.prefer_another("10.0.0.8:1", "")
+    group.prefer_next_replica("10.0.0.8:1", "")
     after = []
     for _ in NAMED:
         after.append(group.preferred)
-        group.prefer_another(group.preferred, "")
+        group.prefer_next_replica(group.preferred, "")
     assert sorted(after) == sorted(NAMED)
--- a/tests/test_logsink.py
+++ b/tests/test_logsink.py
@@ -100,15 +100,15 @@
 def test_events_over_the_limit_are_counted():
     now = [10.0]
     limit = EventLimit(lambda: now[0], lines_per_second=2)
-    limit.turn()
+    limit.take_withheld()
     assert [limit.admits("a") for _ in range(5)] == [True, True, False, False, False]
     assert limit.admits("b")
-    assert limit.turn() == {}
+    assert limit.take_withheld() == {}
     now[0] = 11.2
-    assert limit.turn() == {"a": 3}
+    assert limit.take_withheld() == {"a": 3}
     assert limit.admits("a")
     now[0] = 12.0
-    assert limit.turn() == {}
+    assert limit.take_withheld() == {}
 
 
 def test_no_value_adds_a_line():
