--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input: settings, selectors, framing, log lines, objects."""
+"""Invalid input: settings, selectors, HTTP framing, log values, objects."""
 
 from io import BytesIO
 from pathlib import Path
@@ -31,7 +31,7 @@
     assert load_settings(model, EXAMPLES / f"{name}.yaml").name
 
 
-def test_every_fault_of_the_settings_is_reported(tmp_path):
+def test_every_settings_error_is_reported(tmp_path):
     path = tmp_path / "bad.yaml"
     path.write_text(
         "name: c1\nhall: h\nhttp_address: nowhere\nrpc_address: 127.0.0.1:1\n"
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("text", ["[", "- just\n- a list\n", "", "\xff\n"])
-def test_a_file_that_is_no_mapping_is_refused(tmp_path, text):
+def test_a_settings_file_without_a_mapping_is_refused(tmp_path, text):
     path = tmp_path / "bad.yaml"
     path.write_bytes(text.encode("latin-1"))
     with pytest.raises(HingepitchError) as caught:
@@ -109,7 +109,7 @@
 
 
 class Handler(StrictHandler):
-    """The strict handler without a connection."""
+    """`StrictHandler` that reads from bytes instead of a connection."""
 
     def __init__(self, data):
         self.rfile = BytesIO(data)
@@ -154,7 +154,7 @@
 @pytest.mark.parametrize(
     "head", [b"", b"Content-Length: 4\r\n", b"Transfer-Encoding: chunked\r\n"]
 )
-def test_plain_framing_is_taken(head):
+def test_unambiguous_framing_is_accepted(head):
     handler = Handler(GOOD + head + b"\r\nbody")
     assert handler.read()
     assert handler.headers.get("host") == "a"
@@ -171,7 +171,7 @@
         b"SMTP ready\r\n\r\n",
     ],
 )
-def test_answers_without_a_certain_end_are_refused(head):
+def test_answers_with_an_ambiguous_end_are_refused(head):
     with pytest.raises((InvalidAnswer, ValueError)):
         check_answer_head(head, "GET")
 
--- a/tests/test_child_failures.py
+++ b/tests/test_child_failures.py
@@ -1,12 +1,10 @@
-"""Children that fail again and again, by what others send or do not send.
-
-Five control programs ended by themselves, one after another, and with them all
-service: an error that nothing expected ended each at its start. The supervisor
-could do the same: eight failures of one child within 30 s ended the process,
-and what a peer, a minion or a stored entry causes comes back as often as it
-likes. Nothing was gained: a child that is started again finds what a process
-that is started again finds. Proof: the first test, in which the process had
-ended after the eighth failure.
+"""Supervised children that fail repeatedly.
+
+Guards against processes that exit because a child keeps failing. An unexpected
+error ended five control programs at their start, one after another, and with
+them the service; eight failures of a child within 30 s ended a process as well.
+A peer, a minion or a stored entry can cause a failure any number of times, and a
+restarted process meets it just as a restarted child does.
 """
 
 import re
@@ -23,12 +21,12 @@
 
 SECONDS = 5
 
-#: More failures than ended a process before.
+#: More failures than the former limit of eight that ended the process.
 MANY = 30
 
 
 class Program(Application):
-    """A program with one child that always fails."""
+    """Application with one child that always fails."""
 
     program = "test"
 
@@ -46,7 +44,7 @@
 
 
 @pytest.fixture(autouse=True)
-def short_pauses(monkeypatch):
+def short_backoff(monkeypatch):
     monkeypatch.setattr(supervisor, "MAX_BACKOFF_SECONDS", 0.01)
 
 
@@ -76,13 +74,13 @@
     assert program.runs == 1
 
 
-def test_the_pause_of_a_child_that_fails_for_days_is_bounded():
+def test_the_backoff_of_a_child_that_fails_for_days_is_bounded():
     child = supervisor.Child("child", None, failures=100_000)
     assert supervisor.Supervisor(None).backoff_seconds(child) <= 0.01
 
 
-# Guards against: a failure that is told without the place that it comes from.
-def test_a_failure_is_logged_with_its_place(monkeypatch):
+# Guards against a failure logged without the source location of its error.
+def test_a_failure_is_logged_with_its_source_location(monkeypatch):
     lines = []
     monkeypatch.setattr(
         supervisor, "log_event", lambda event, **pairs: lines.append((event, pairs))
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -1,4 +1,4 @@
-"""What strangers and operators meet at the running daemons."""
+"""Running daemons: invalid callers, unauthenticated peers and operators."""
 
 import json
 import re
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize("program", ["control", "entry", "planner", "load", "admin"])
-def test_every_program_explains_itself(program):
+def test_every_program_prints_help_and_version(program):
     name = f"hingepitch-{program}"
     helped = subprocess.run([BIN / name, "--help"], capture_output=True, text=True)
     assert helped.returncode == 0 and "usage" in helped.stdout
@@ -73,7 +73,7 @@
 
 
 def send_raw(address, data):
-    """Send bytes; return all that comes back."""
+    """Send bytes; return all bytes received until the connection closes."""
     host, port = address.rsplit(":", 1)
     with socket.create_connection((host, int(port)), timeout=10) as sock:
         try:
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize("method", ["read_index", "propose", "watch", "sync"])
-def test_stranger_without_the_key_learns_and_changes_nothing(cluster, method):
+def test_unauthenticated_peer_can_neither_read_nor_write(cluster, method):
     arguments = {"propose": (b"",), "watch": (0, 0), "sync": (None,)}
     address = cluster.rpc_by_name[cluster.wait_leader()]
     client = ControlClient(address, "e1", "another-key-of-16-chars")
@@ -148,13 +148,13 @@
 @pytest.mark.parametrize(
     "path", ["/v1/objects/vm", "/v1/audit", "/v1/watch", "/v1/members"]
 )
-def test_nobody_reads_without_a_token(cluster, header, path):
+def test_reads_without_a_token_are_refused(cluster, header, path):
     address = cluster.http_by_name["c1"]
     status, answer = problem(http_call(address, "GET", path, headers=header))
     assert (status, answer["code"]) == (401, "unauthenticated")
 
 
-def test_second_daemon_on_the_same_folder(cluster):
+def test_second_daemon_on_the_same_folder_is_refused(cluster):
     command = cluster.process_by_name["c1"].command
     finished = subprocess.run(command, capture_output=True, text=True, timeout=30)
     assert finished.returncode == 1
@@ -194,7 +194,7 @@
     assert cluster.admin("journeys", "get", "pool", "by-hand").returncode == 1
 
 
-def test_operator_asks_why(cluster):
+def test_operator_gets_an_explanation_for_a_waiting_job(cluster):
     job = {"kind": "job", "name": "huge", "team": "journeys-team", "cores": 99}
     cluster.put("journeys", {**job, "pool": "journeys-pool"})
     explained = cluster.admin("journeys", "explain", "job", "huge")
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""The entry's parts: exchange, choice of minions, queues, retry budget."""
+"""Components of the entry: minion connections, balancer, queue, retry budget."""
 
 import gevent
 import pytest
@@ -17,9 +17,10 @@
 
 
 class FakeMinion:
-    """Answers each request with the next of its scripts, and counts them.
+    """Server that answers each request by its next script and counts them.
 
-    A script is bytes to send, or a number of seconds to wait; None closes.
+    A script is a sequence of bytes to send, seconds to wait, or None, which
+    closes the connection.
     """
 
     def __init__(self, *scripts):
@@ -71,7 +72,7 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-def test_whole_answers_reuse_the_connection(minion):
+def test_complete_answers_reuse_the_connection(minion):
     fake = minion((answer(b"one"),), (answer(b"two"),))
     connections = MinionConnections(fake.address)
     assert connections.exchange(request()).body == b"one"
@@ -79,7 +80,7 @@
     assert fake.connections == 1
 
 
-def test_chunked_answer_is_put_together(minion):
+def test_chunked_answer_is_reassembled(minion):
     chunked = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n"
     fake = minion((chunked, 0.01, b"2\r\nde\r\n0\r\n\r\n"))
     assert MinionConnections(fake.address).exchange(request()).body == b"abcde"
@@ -94,7 +95,7 @@
     assert fake.connections == 2
 
 
-def test_bytes_behind_an_answer_close_the_connection(minion):
+def test_bytes_after_an_answer_close_the_connection(minion):
     fake = minion((answer(b"one") + answer(b"two"),), (answer(b"own"),))
     connections = MinionConnections(fake.address)
     assert connections.exchange(request()).body == b"one"
@@ -102,7 +103,7 @@
     assert fake.connections == 2
 
 
-def test_answer_that_comes_unasked_closes_the_connection(minion):
+def test_unsolicited_answer_closes_the_connection(minion):
     fake = minion((answer(b"one"), 0.05, answer(b"stray")), (answer(b"own"),))
     connections = MinionConnections(fake.address)
     assert connections.exchange(request()).body == b"one"
@@ -121,13 +122,13 @@
         (None,),
     ],
 )
-def test_answer_that_is_not_whole_is_a_failure_and_unknown(minion, script):
+def test_incomplete_answer_is_a_failure_with_unknown_outcome(minion, script):
     result = MinionConnections(minion(script).address).exchange(request())
     assert (result.code, result.run) == ("minion_failed", Run.UNKNOWN)
 
 
 @pytest.mark.parametrize("method", ["GET", "POST"])
-def test_nothing_is_sent_again_beneath_the_retry_budget(minion, method):
+def test_connections_never_resend_a_request(minion, method):
     fake = minion((None,), (None,), (None,))
     MinionConnections(fake.address).exchange(request(method=method))
     assert len(fake.requests) == 1
@@ -140,9 +141,6 @@
     assert (result.code, result.run) == ("minion_failed", Run.NOT_RUN)
 
 
-# The whole way, with fake minions.
-
-
 class FakeFollower:
     def __init__(self, state):
         self.state = state
@@ -153,7 +151,10 @@
 
 
 def make_proxy(fakes, **fields):
-    """Return a proxy over fake minions; they share one port by their IPs."""
+    """Return a proxy that sends to `fakes`, one for each VM.
+
+    `send_to` is replaced, since the fakes have different ports.
+    """
     state = State()
     for number, _ in enumerate(fakes):
         vm = Vm(f"v{number}", "p", "pool", "h", "r", "127.0.0.1")
@@ -178,7 +179,7 @@
     return proxy
 
 
-def test_repeatable_request_is_tried_elsewhere(minion):
+def test_repeatable_request_is_retried_on_another_minion(minion):
     good = minion(*[(answer(b"good"),)] * 40)
     bad = minion(*[(None,)] * 40)
     proxy = make_proxy([bad, good])
@@ -194,14 +195,14 @@
     assert sum(len(fake.requests) for fake in fakes) == 1
 
 
-def test_refused_retry_does_not_hide_that_the_first_try_ran():
+def test_refused_retry_does_not_hide_that_the_first_attempt_ran():
     first = Failure("minion_failed", Run.UNKNOWN)
     second = Failure("overloaded", Run.NOT_RUN)
     proxy = make_proxy([])
     assert proxy.choose_result(first, second).run is Run.UNKNOWN
 
 
-def test_entry_without_a_lease_takes_nothing(minion):
+def test_entry_without_a_lease_refuses_requests(minion):
     proxy = make_proxy([minion((answer(b"x"),))])
     proxy.follower.lease = False
     result = proxy.handle(request())
@@ -209,7 +210,7 @@
     assert result.retry_after_ms
 
 
-def test_leaving_vm_gets_nothing(minion):
+def test_leaving_vm_gets_no_requests(minion):
     fakes = [minion(), minion(*[(answer(b"x"),)] * 20)]
     proxy = make_proxy(fakes)
     state = proxy.follower.state
@@ -220,9 +221,6 @@
     assert fakes[0].requests == []
 
 
-# Parts.
-
-
 def test_fast_failures_do_not_attract_traffic():
     failing, busy = MinionHealth(8.0), MinionHealth(8.0, in_flight=3)
     for _ in range(20):
@@ -231,7 +229,7 @@
     assert failing.is_ejected(0.1)
 
 
-def test_ejected_minion_comes_back_slowly():
+def test_ejected_minion_returns_with_slow_start():
     health = MinionHealth(8.0)
     for _ in range(3):
         health.note_failure(0.0)
--- a/tests/test_failure_figures.py
+++ b/tests/test_failure_figures.py
@@ -1,15 +1,15 @@
-"""A reader of the figures sees which parts of a program fail.
+"""Metrics show the failing children of a program.
 
-A control program ended at each start, and all that was collected of it was its
-exit code: no figure told which part failed. Those of its data folder are looked
-at on a real program, in `test_start_stays`.
+Guards against a program whose failures no metric shows: a control program ended
+at each start, and only its exit code was known. `test_start_stays` checks the
+metrics of the data folder on a real program.
 """
 
 from hingepitch.app import Application
 from hingepitch.supervisor import Child
 
 
-def rendered(program):
+def render_text(program):
     return program.metrics.render()[0].decode()
 
 
@@ -18,7 +18,7 @@
     program.program = "any"
     program.metrics = program.make_metrics()
     line = 'hingepitch_children_failing{program="any"}'
-    assert f"{line} 0" in rendered(program)
+    assert f"{line} 0" in render_text(program)
     failing = Child("part", None, failures=3, started=float("inf"))
     program.supervisor.child_by_name["part"] = failing
-    assert f"{line} 1" in rendered(program)
+    assert f"{line} 1" in render_text(program)
--- a/tests/test_frame.py
+++ b/tests/test_frame.py
@@ -1,4 +1,4 @@
-"""The frame of the daemons: supervisor, admission, group client, feeds."""
+"""Infrastructure of the daemons: supervisor, admission, group client, feeds."""
 
 import gevent
 import pytest
@@ -23,8 +23,8 @@
     assert load_settings(AdminSettings, EXAMPLES / "admin.yaml").token
 
 
-class Dying:
-    """A child that dies some times, then runs on."""
+class FailingChild:
+    """A child that fails `times` times, then succeeds."""
 
     def __init__(self, times, error=ValueError):
         self.times = times
@@ -39,29 +39,29 @@
         self.alive.set(True)
 
 
-def test_child_that_dies_is_started_again():
-    gave_up = []
-    supervisor = Supervisor(gave_up.append)
-    child = Dying(2)
+def test_failed_child_is_restarted():
+    stopped = []
+    supervisor = Supervisor(stopped.append)
+    child = FailingChild(2)
     supervisor.start("child", child.run)
     assert child.alive.get(timeout=5)
     assert child.runs == 3
-    assert gave_up == []
+    assert stopped == []
 
 
-def test_child_that_keeps_dying_stops_the_process():
-    gave_up = AsyncResult()
-    supervisor = Supervisor(gave_up.set, max_failures=3)
-    supervisor.start("child", Dying(99).run)
-    assert gave_up.get(timeout=5) is False
+def test_child_at_its_failure_limit_stops_the_process():
+    stopped = AsyncResult()
+    supervisor = Supervisor(stopped.set, max_failures=3)
+    supervisor.start("child", FailingChild(99).run)
+    assert stopped.get(timeout=5) is False
 
 
 def test_broken_invariant_stops_the_process_at_once():
-    gave_up = AsyncResult()
-    supervisor = Supervisor(gave_up.set)
-    child = Dying(99, HingepitchError("storage_damaged"))
+    stopped = AsyncResult()
+    supervisor = Supervisor(stopped.set)
+    child = FailingChild(99, HingepitchError("storage_damaged"))
     supervisor.start("child", child.run)
-    assert gave_up.get(timeout=5) is True
+    assert stopped.get(timeout=5) is True
     assert child.runs == 1
 
 
@@ -84,7 +84,7 @@
     admission.put("right", Waiting(b"", None))
 
 
-def test_turns_go_round():
+def test_admission_serves_lanes_round_robin():
     admission = Admission()
     for _ in range(3):
         for lane in ("left", "right", "planner"):
@@ -104,7 +104,7 @@
     assert not roster.is_in_force(["e1"], 6, 103.3)
 
 
-def test_drain_waits_for_the_longest_request_of_a_lapsed_entry():
+def test_drain_waits_for_the_longest_request_of_an_expired_entry():
     roster = Roster(lease_seconds=3.0)
     roster.take_over(100.0)
     assert not roster.is_drained(["e1"], "v", 5, 104.0, 2.0)
@@ -143,7 +143,7 @@
     assert may_resend(envelope, HingepitchError(code)) is expected
 
 
-def test_leader_at_an_unknown_address_is_asked_after_the_named_ones():
+def test_unconfigured_leader_is_asked_after_the_configured_replicas():
     group = GroupClient(["127.0.0.1:1", "127.0.0.1:2"], "n", "k")
     asked = []
     for _ in range(3):
@@ -153,7 +153,7 @@
     assert group.preferred == "127.0.0.1:9"
 
 
-def test_follower_far_behind_gets_everything(monkeypatch):
+def test_follower_far_behind_gets_the_full_state(monkeypatch):
     monkeypatch.setattr("hingepitch.model.state.MAX_FEED_CHANGES", 3)
     state = State()
     for number in range(1, 7):
@@ -180,7 +180,7 @@
     assert supervisor.greenlet_by_name == {}
 
 
-def test_the_operators_client_asks_on_after_every_code_that_may_pass(monkeypatch):
+def test_the_admin_client_retries_after_every_transient_code(monkeypatch):
     codes = sorted(PASSING_CODES)
     client = AdminClient(
         AdminSettings(control=["127.0.0.1:1", "127.0.0.1:2"], token="t" * 16)
--- a/tests/test_group.py
+++ b/tests/test_group.py
@@ -1,19 +1,19 @@
-"""Calls to the control group: the leader is found, wherever it is."""
+"""`GroupClient` finds the leader of the control group at any address."""
 
 import pytest
 
 from hingepitch.error import HingepitchError
 from hingepitch.group import GroupClient
 
-NAMED = ("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1")
+CONFIGURED = ("10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1")
 LEADER = "10.0.0.9:1"
 
-#: Calls within which the leader is to be found: three rounds of the named ones.
+#: Calls within which the leader must be found: three rounds of `CONFIGURED`.
 CALLS = 9
 
 
 class Replica:
-    """Answers as one replica does; `hint` is the leader that it knows."""
+    """Stub of one replica; `hint` is the address of the leader it knows."""
 
     def __init__(self, address, hint):
         self.address = address
@@ -28,16 +28,16 @@
 
 
 class Group(GroupClient):
-    """A group in memory, in which `emptied` do not know the leader."""
+    """Client of stub replicas; those in `wiped` do not know the leader."""
 
-    def __init__(self, emptied=()):
-        super().__init__(NAMED, "test", "key")
-        self.emptied = emptied
+    def __init__(self, wiped=()):
+        super().__init__(CONFIGURED, "test", "key")
+        self.wiped = wiped
         self.asked = []
 
     def client(self, address):
         self.asked.append(address)
-        return Replica(address, "" if address in self.emptied else LEADER)
+        return Replica(address, "" if address in self.wiped else LEADER)
 
     def find(self):
         for _ in range(CALLS):
@@ -48,19 +48,19 @@
         return None
 
 
-def test_a_leader_that_is_not_named_is_asked_after_the_named_ones():
+def test_an_unconfigured_leader_is_asked_after_the_configured_replicas():
     group = Group()
     assert group.find() == "answer"
-    assert set(NAMED) <= set(group.asked)
+    assert set(CONFIGURED) <= set(group.asked)
 
 
-@pytest.mark.parametrize("emptied", NAMED)
-def test_a_replica_that_lost_its_disk_does_not_hide_the_leader(emptied):
-    group = Group((emptied,))
+@pytest.mark.parametrize("wiped", CONFIGURED)
+def test_a_replica_that_lost_its_disk_does_not_hide_the_leader(wiped):
+    group = Group((wiped,))
     assert group.find() == "answer", group.asked
 
 
-def test_a_hint_that_led_nowhere_is_not_followed_for_ever():
+def test_a_wrong_hint_is_not_followed_forever():
     group = Group()
     for _ in range(CALLS):
         group.prefer_next_replica(group.preferred, "10.0.0.8:1")
@@ -68,7 +68,7 @@
             break
     group.prefer_next_replica("10.0.0.8:1", "")
     after = []
-    for _ in NAMED:
+    for _ in CONFIGURED:
         after.append(group.preferred)
         group.prefer_next_replica(group.preferred, "")
-    assert sorted(after) == sorted(NAMED)
+    assert sorted(after) == sorted(CONFIGURED)
--- a/tests/test_logsink.py
+++ b/tests/test_logsink.py
@@ -1,4 +1,4 @@
-"""Log lines: bounded a second, and never waited for."""
+"""Log output: rate-limited for each event, and never blocking."""
 
 import os
 import threading
@@ -18,7 +18,7 @@
         yield source, sink
 
 
-#: So slow is a reader that the pipe is full between two reads.
+#: Pause between two reads, long enough that the pipe fills up meanwhile.
 READ_PAUSE_SECONDS = 0.005
 
 
@@ -28,7 +28,7 @@
         read += source.read(10_000) or b""
 
 
-def test_lines_go_out_in_order_and_whole(pipe):
+def test_lines_are_written_in_order_and_complete(pipe):
     source, sink = pipe
     buffer = LineBuffer(sink, print)
     lines = [f"line {number} {'x' * 300}\n" for number in range(100)]
@@ -38,7 +38,7 @@
     assert source.read().decode() == "".join(lines)
 
 
-def test_a_reader_that_reads_nothing_stops_nobody_and_is_told_the_loss(pipe):
+def test_a_stalled_reader_blocks_nothing_and_drops_are_reported(pipe):
     source, sink = pipe
     drops = []
     buffer = LineBuffer(sink, drops.append, max_bytes=10_000)
@@ -54,7 +54,7 @@
     assert drops == [lost]
 
 
-def test_a_long_line_is_cut_into_writes_not_lost(pipe):
+def test_a_long_line_is_split_into_several_writes(pipe):
     source, sink = pipe
     buffer = LineBuffer(sink, print)
     buffer.write("y" * 20_000 + "\n")
@@ -62,8 +62,8 @@
     assert len(source.read()) == 20_001
 
 
-# Guards against a program that ends and leaves its last lines behind.
-def test_what_is_left_goes_out_when_it_is_closed(pipe):
+# Guards against a program that ends without writing its last lines.
+def test_remaining_lines_are_written_at_close(pipe):
     source, sink = pipe
     buffer = LineBuffer(sink, print)
     text = "z" * 150_000
@@ -79,7 +79,7 @@
     assert len(read) == len(text)
 
 
-# Guards against a program that cannot end because nobody reads its last lines.
+# Guards against a program that cannot end because its last lines are not read.
 def test_closing_waits_a_bounded_time_for_the_reader(pipe):
     _, sink = pipe
     buffer = LineBuffer(sink, print)
@@ -88,7 +88,7 @@
     assert buffer.lines
 
 
-def test_a_reader_that_is_gone_is_no_failure(pipe):
+def test_a_closed_reader_is_no_error(pipe):
     source, sink = pipe
     buffer = LineBuffer(sink, print)
     source.close()
--- a/tests/test_metric.py
+++ b/tests/test_metric.py
@@ -1,8 +1,8 @@
-"""Metrics of a process, and of a leader.
+"""Metrics of a process and of a leader.
 
-A reader kept the first 4 KB of each process's figures. A leader's began with
-the buckets of one histogram, so that no counter of its own was left to tell
-why lasting tasks had lapsed.
+Guards against counters that a scraper cuts off: one kept only the first 4 KB of
+each process's metrics, and a leader's began with the buckets of a histogram, so
+that no counter showed why the leases of long-running tasks had expired.
 """
 
 from types import SimpleNamespace
@@ -28,21 +28,21 @@
     )
 
 
-def rendered(metrics):
+def render_text(metrics):
     return metrics.render()[0].decode()
 
 
-def test_counters_stand_before_the_buckets_of_histograms():
+def test_counters_are_rendered_before_histogram_buckets():
     metrics = Metrics("test")
     for number in range(20):
         metrics.observe("a_seconds", "Times.", 0.1, command=f"command{number}")
     metrics.count("z_ends", "Ends.", result="lapsed")
-    beginning = rendered(metrics)[:BEGINNING_BYTES]
+    beginning = render_text(metrics)[:BEGINNING_BYTES]
     assert 'hingepitch_z_ends{program="test",result="lapsed"} 1' in beginning
-    assert "hingepitch_a_seconds_bucket" in rendered(metrics)
+    assert "hingepitch_a_seconds_bucket" in render_text(metrics)
 
 
-def test_a_leader_shows_its_minions_and_runs_by_state():
+def test_a_leader_exports_its_minions_and_runs_by_state():
     metrics = Metrics("test")
     agents = [
         agent([RunViewStatus.RUNNING, RunViewStatus.UNSURE]),
@@ -50,14 +50,14 @@
         agent(may_start=False),
     ]
     DispatchGauge(metrics, None).note_minions(agents, 0.0)
-    text = rendered(metrics)
+    text = render_text(metrics)
     for state in ("silent", "unused", "usable"):
         assert f'hingepitch_minions{{program="test",state="{state}"}} 1' in text
     assert 'hingepitch_runs{program="test",status="running"} 2' in text
     assert 'hingepitch_runs{program="test",status="unsure"} 1' in text
 
 
-def test_a_leader_shows_how_many_lasting_tasks_wait():
+def test_a_leader_exports_the_number_of_waiting_long_running_tasks():
     log = Log()
     log.send(commands.PutQueues(make_config()))
     log.send(commands.RegisterMinion(make_minion(1), 0))
@@ -65,14 +65,14 @@
     log.start(task(index=0))
     metrics = Metrics("test")
     DispatchGauge(metrics, None).note_waiting(log.table)
-    text = rendered(metrics)
+    text = render_text(metrics)
     assert 'hingepitch_tasks_waiting{lasting="true",program="test"} 2' in text
     assert 'hingepitch_tasks_waiting{lasting="false",program="test"} 0' in text
 
 
-def test_a_process_that_no_longer_leads_shows_no_minions():
+def test_a_former_leader_exports_no_minions():
     metrics = Metrics("test")
     gauge = DispatchGauge(metrics, None)
     gauge.note_minions([agent(is_silent=True)], 0.0)
     gauge.show_nothing()
-    assert 'hingepitch_minions{program="test",state="silent"} 0' in rendered(metrics)
+    assert 'hingepitch_minions{program="test",state="silent"} 0' in render_text(metrics)
--- a/tests/test_outside_answers.py
+++ b/tests/test_outside_answers.py
@@ -1,11 +1,11 @@
-"""Answers of the platform, and settings, that cannot be read.
-
-Looked for after programs had ended at words that nothing expected to be
-unreadable: the planner took the platform's lists for what they should be, and a
-field that was missing ended it after eight tries; a refusal of the platform that
-is nested without end ended each session of the leader; a date that is none in
-the settings came out of the reader as an error of another kind. A file that was
-read while it was written was refused, and never read again.
+"""Malformed answers of the platform and minions, and malformed settings.
+
+Guards against programs that end because input is not validated:
+
+- a field missing from the platform's lists ended the planner after eight tries;
+- a deeply nested refusal of the platform ended each session of the leader;
+- an invalid date in the settings raised an error of an unexpected type;
+- a settings file read while it was being written was refused and not read again.
 """
 
 import gevent
@@ -40,7 +40,7 @@
     return PlatformClient("127.0.0.1:1").view({}, 0.0)
 
 
-def test_a_whole_view_is_taken(monkeypatch):
+def test_a_valid_view_is_accepted(monkeypatch):
     taken = view(monkeypatch, VMS, TASKS)
     assert list(taken.vm_by_name) == ["vm"]
     assert list(taken.task_by_name) == ["j/1"]
@@ -58,21 +58,21 @@
         (VMS, ["j/1"]),
     ],
 )
-def test_a_view_that_cannot_be_read_is_a_platform_that_failed(monkeypatch, vms, tasks):
+def test_a_malformed_view_is_a_platform_failure(monkeypatch, vms, tasks):
     with pytest.raises(HingepitchError) as caught:
         view(monkeypatch, vms, tasks)
     assert caught.value.code == "platform_failed"
 
 
 @pytest.mark.parametrize("body", [b"", b"\xff", b"[]", b'{"reason":5}', DEEP])
-def test_a_refusal_of_the_platform_that_cannot_be_read_is_unsure(monkeypatch, body):
+def test_a_malformed_platform_refusal_has_an_unknown_outcome(monkeypatch, body):
     client = CloudClient("127.0.0.1:1")
     monkeypatch.setattr(client, "call", lambda *_: Answer(409, [], body))
     assert client.move("vm", "pool", "a", 1, 1.0) is FleetReply.UNSURE
 
 
 @pytest.mark.parametrize("body", [b"\xff", b"[]", DEEP])
-def test_a_refusal_of_a_minion_that_cannot_be_read_is_unsure(body):
+def test_a_malformed_minion_refusal_has_an_unknown_outcome(body):
     assert reply_of(Answer(409, [], body)).kind is ReplyKind.UNSURE
 
 
@@ -83,7 +83,7 @@
 @pytest.mark.parametrize(
     "read", [settings.read_settings, lambda path: load_settings(Settings, path)]
 )
-def test_settings_that_cannot_be_read_are_bad_settings(tmp_path, read, text):
+def test_unreadable_settings_are_bad_settings(tmp_path, read, text):
     path = tmp_path / "settings.yaml"
     path.write_bytes(text.encode("latin-1"))
     with pytest.raises(HingepitchError) as caught:
@@ -99,7 +99,7 @@
     book = Book()
 
 
-WHOLE = """
+VALID_SETTINGS = """
 node: n
 ip: 10.0.0.1
 zone: z
@@ -109,20 +109,20 @@
 """
 
 
-def test_a_file_that_is_read_while_it_is_written_is_read_again(tmp_path, monkeypatch):
+def test_a_partly_written_settings_file_is_read_again(tmp_path, monkeypatch):
     path = tmp_path / "settings.yaml"
-    path.write_text(WHOLE[: len(WHOLE) // 2])
+    path.write_text(VALID_SETTINGS[: len(VALID_SETTINGS) // 2])
     monkeypatch.setenv(settings.SETTINGS_VARIABLE, str(path))
     monkeypatch.setattr(reload, "AGAIN_SECONDS", (0.05, 0.05, 0.05), raising=False)
     program = Program()
     reloading = gevent.spawn(program.reload)
     gevent.sleep(0)
-    path.write_text(WHOLE)
+    path.write_text(VALID_SETTINGS)
     assert wait_until(lambda: program.book.seeds == ["10.0.0.9:7000"], SECONDS)
     reloading.get(timeout=SECONDS)
 
 
-def test_a_file_that_stays_faulty_is_given_up(tmp_path, monkeypatch):
+def test_reloading_stops_for_a_file_that_stays_invalid(tmp_path, monkeypatch):
     path = tmp_path / "settings.yaml"
     path.write_text("node: 5")
     monkeypatch.setenv(settings.SETTINGS_VARIABLE, str(path))
--- a/tests/test_patch.py
+++ b/tests/test_patch.py
@@ -1,4 +1,4 @@
-"""The test process itself stays unpatched: its threads are threads."""
+"""gevent does not patch the test process, so its threads are real threads."""
 
 import subprocess
 import sys
--- a/tests/test_peerbook.py
+++ b/tests/test_peerbook.py
@@ -1,7 +1,8 @@
-"""The remembered addresses of the control replicas.
+"""The saved addresses of the control replicas.
 
-Seen after all machines had lost power: each replica that kept its disk could
-not read its book, so it knew only the addresses of its settings.
+Guards against a registry file torn by a power loss. After all machines had lost
+power, replicas with an intact disk could not read theirs and knew only the
+addresses in their settings.
 """
 
 from hingepitch.jobs.question import MemberRow
@@ -11,21 +12,21 @@
 ROWS = [MemberRow("n9", "10.0.0.9:7060", True)]
 
 
-def test_the_book_is_synced_before_it_takes_the_place_of_the_last(tmp_path):
+def test_the_registry_is_synced_before_it_replaces_the_old_file(tmp_path):
     calls = []
     disk = NotingDisk(lambda call: calls.append(call.name))
     PeerBook([], tmp_path, disk).learn(ROWS)
     assert calls[-3:] == ["sync", "rename", "sync_folder"]
 
 
-def test_a_book_that_was_kept_is_known_at_the_next_start(tmp_path):
+def test_a_saved_registry_is_loaded_at_the_next_start(tmp_path):
     PeerBook([], tmp_path).learn(ROWS)
     again = PeerBook(["10.0.0.1:7060"], tmp_path)
     again.load()
     assert again.addresses() == ["10.0.0.9:7060", "10.0.0.1:7060"]
 
 
-def test_a_torn_book_leaves_the_addresses_of_the_settings(tmp_path):
+def test_a_torn_registry_file_leaves_the_configured_addresses(tmp_path):
     (tmp_path / "peers").write_bytes(b"\x91\x93")
     book = PeerBook(["10.0.0.1:7060"], tmp_path)
     book.load()
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Connections that go silent for good, while new ones work."""
+"""Connections that stay unresponsive while new ones work."""
 
 import pytest
 
@@ -12,12 +12,12 @@
 from tests.test_dispatch import SECONDS, Rig
 from tests.test_job_rules import make_minion
 
-#: A look that waits at the minion, its time-out, and the pause after it.
-LOOK_SECONDS = 2.0
+#: Duration of a long poll at the minion, its timeout and the pause after it.
+POLL_SECONDS = 2.0
 
 
-class RelayedRig(Rig):
-    """A dispatcher whose minions are reached through relays."""
+class RelayedHarness(Rig):
+    """Dispatcher harness whose minions are reached through relays."""
 
     def register(self, number, minion):
         self.relays = [*getattr(self, "relays", []), Relay(minion.address)]
@@ -37,13 +37,13 @@
 
 @pytest.fixture
 def rig():
-    made = RelayedRig(TaskMinion())
+    made = RelayedHarness(TaskMinion())
     assert wait_until(lambda: made.dispatcher.session is not None, SECONDS)
     yield made
     made.close()
 
 
-def test_a_minion_behind_silent_connections_is_asked_on_new_ones(rig):
+def test_a_minion_behind_unresponsive_connections_is_polled_on_new_ones(rig):
     (minion,) = rig.minions
     rig.submit(Step(2, 1000), Step(1, 1000, after=(0,)))
     assert wait_until(lambda: len(minion.running) == 2, SECONDS)
@@ -51,11 +51,11 @@
     (agent,) = session.agent_by_minion.values()
     assert wait_until(lambda: agent.looks.looked_at > 0, SECONDS)
     rig.relays[0].silence()
-    silenced_at = lease_seconds()
+    unresponsive_at = lease_seconds()
     for name in list(minion.running):
         minion.end(name, "done")
     assert wait_until(lambda: len(minion.starts) == 3, SECONDS)
-    assert lease_seconds() - silenced_at < LOOK_SECONDS
+    assert lease_seconds() - unresponsive_at < POLL_SECONDS
     for name in list(minion.running):
         minion.end(name, "done")
     rig.wait_status(JobStatus.SUCCEEDED)
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -1,7 +1,8 @@
-"""A machine that is suspended: the steady clock stands, time itself goes on.
+"""Leases on a suspended machine.
 
-Every lease is judged by a clock that counts the suspension, so what was allowed
-before is asked for anew after waking; the timers of the loop prove nothing.
+The monotonic clock and the timers of the event loop stop during a suspension.
+Guards against a lease that seems valid after it: leases are measured on a clock
+that counts the suspension, so they must be confirmed again after resuming.
 """
 
 import re
@@ -27,7 +28,7 @@
 
 ROOT = Path(__file__).parent.parent
 
-#: Ways to read a clock beside `hingepitch.clock`.
+#: Ways to read a clock without `hingepitch.clock`.
 CLOCK_CALL = re.compile(
     r"time\.(time|time_ns|monotonic|monotonic_ns|perf_counter|clock_gettime)\b"
     r"|datetime\.(now|utcnow)|from time import"
@@ -36,22 +37,22 @@
 
 @pytest.fixture
 def suspend(monkeypatch):
-    """Return a function that suspends this machine for some seconds."""
-    slept = SimpleNamespace(seconds=0.0)
+    """Return a function that simulates a suspension of some seconds."""
+    suspension = SimpleNamespace(seconds=0.0)
     read = time.clock_gettime
 
     def read_shifted(clock_id):
-        counted = slept.seconds if clock_id == time.CLOCK_BOOTTIME else 0.0
+        counted = suspension.seconds if clock_id == time.CLOCK_BOOTTIME else 0.0
         return read(clock_id) + counted
 
     def sleep(seconds):
-        slept.seconds += seconds
+        suspension.seconds += seconds
 
     monkeypatch.setattr(clock.time, "clock_gettime", read_shifted)
     return sleep
 
 
-def test_no_module_reads_a_clock_of_its_own():
+def test_only_the_clock_module_reads_clocks():
     sources = [*ROOT.glob("hingepitch/**/*.py"), *ROOT.glob("platform/**/*.py")]
     found = [
         source.name
@@ -61,7 +62,7 @@
     assert found == ["clock.py"]
 
 
-def test_a_leader_that_wakes_gives_no_order_before_it_is_confirmed(rig, suspend):
+def test_a_resumed_leader_sends_no_order_before_it_is_confirmed(rig, suspend):
     minion = TaskMinion()
     here = rig(minion)
     assert wait_until(lambda: here.dispatcher.session is not None, SECONDS)
@@ -76,7 +77,7 @@
     assert not minion.starts
 
 
-def test_the_lease_of_a_silent_minion_runs_out_while_the_leader_is_suspended(
+def test_the_lease_of_an_unresponsive_minion_expires_while_the_leader_is_suspended(
     rig, suspend
 ):
     first, second = TaskMinion(), TaskMinion()
@@ -93,7 +94,7 @@
     assert wait_until(lambda: second.running, SECONDS)
 
 
-def test_a_read_after_waking_is_confirmed_anew(rig, suspend):
+def test_a_read_after_resuming_is_confirmed_again(rig, suspend):
     here = rig(TaskMinion())
     service = JobService(here.replica, here.roster, None, "test")
     question = AskPending(HOST, "/q/")
@@ -104,7 +105,7 @@
         service.answer(question)
 
 
-def test_an_entry_that_wakes_has_no_lease(suspend):
+def test_a_resumed_entry_has_no_lease(suspend):
     follower = Follower.__new__(Follower)
     follower.lease_until = clock.lease_seconds() + 3.0
     assert follower.has_lease()
