--- a/hingepitch/entry/balance.py
+++ b/hingepitch/entry/balance.py
@@ -48,8 +48,8 @@
     limit: float
     in_flight: int = 0
     success: float = 1.0
-    failures_in_row: int = 0
-    ejections_in_row: int = 0
+    consecutive_failures: int = 0
+    consecutive_ejections: int = 0
     ejected_until: float = 0.0
 
     def is_ejected(self, now):
@@ -70,25 +70,25 @@
 
     def note_success(self, slots):
         """Record a successful request and raise the limit."""
-        self.failures_in_row = 0
-        self.ejections_in_row = 0
+        self.consecutive_failures = 0
+        self.consecutive_ejections = 0
         self.success += SUCCESS_WEIGHT * (1 - self.success)
         self.limit = min(slots, self.limit + 1 / max(1.0, self.limit))
 
     def note_failure(self, now):
         """Record a failed request, lower the limit and eject if due."""
-        self.failures_in_row += 1
+        self.consecutive_failures += 1
         self.success -= SUCCESS_WEIGHT * self.success
         self.limit = max(1.0, self.limit * LIMIT_DECREASE_FACTOR)
-        if self.failures_in_row >= EJECT_AFTER:
+        if self.consecutive_failures >= EJECT_AFTER:
             self.eject(now)
 
     def eject(self, now):
         """Eject the minion with exponential backoff, then use slow start."""
-        doubled = FIRST_EJECTION_SECONDS * 2**self.ejections_in_row
+        doubled = FIRST_EJECTION_SECONDS * 2**self.consecutive_ejections
         self.ejected_until = now + min(doubled, MAX_EJECTION_SECONDS)
-        self.ejections_in_row = min(self.ejections_in_row + 1, 16)
-        self.failures_in_row = EJECT_AFTER - 1
+        self.consecutive_ejections = min(self.consecutive_ejections + 1, 16)
+        self.consecutive_failures = EJECT_AFTER - 1
         self.limit = SLOW_START_LIMIT
 
 
--- a/hingepitch/log.py
+++ b/hingepitch/log.py
@@ -137,7 +137,7 @@
 
 
 def write_event(event, pairs):
-    """Write the line of an event."""
+    """Write the log line of an event, without the rate limit."""
     logger.log(EVENTS[event], "{}", format_pairs({"event": event, **pairs}))
 
 
--- a/hingepitch/supervisor.py
+++ b/hingepitch/supervisor.py
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class Child:
-    """One supervised function.
+    """A supervised function and its failures.
 
     `started`
         Time of the latest start, on the clock `lease_seconds`.
@@ -103,7 +103,7 @@
         ]
 
     def note_failure(self, child, error):
-        """Log a failure; stop the process if it is fatal or one too many."""
+        """Log a failure; stop the process if it is fatal or at `max_failures`."""
         child.failures += 1
         log_event(
             "child_failed",
