--- a/hingepitch/supervisor.py
+++ b/hingepitch/supervisor.py
@@ -55,8 +55,8 @@
         Function: called when the process has to stop, with whether an error
         of `FATAL_CODES` is the reason.
     `max_failures`
-        Failures of one child within `window_seconds` after which the
-        process stops. Default: None, for no limit.
+        Consecutive failures of one child, each within `window_seconds` of its
+        start, after which the process stops. Default: None, for no limit.
     `window_seconds`
         A child that ran longer than this has its failures reset.
         Default: 30.
