--- a/tests/test_other_writers.py
+++ b/tests/test_other_writers.py
@@ -14,9 +14,9 @@
 import pytest
 from hypothesis import given, settings, strategies as st
 
-from adapter.cloud import CloudClient, to_row
+from adapter.cloud import CloudClient, parse_vm_row
 from adapter.minion import HttpMinion, reply_of
-from adapter.wire import decode_beat, parse_ended, parse_rows, parse_running
+from adapter.wire import decode_heartbeat, parse_ended, parse_rows, parse_running
 from hingepitch.error import HingepitchError
 from hingepitch.httpd import wait_until
 from hingepitch.jobs import command as commands
@@ -29,7 +29,7 @@
 from tests.memory_minion import MemoryMinion
 from tests.test_dispatch import SECONDS, Rig
 from tests.test_job_rules import JOB, make_minion, task
-from tests.test_platform import BEAT, CONFIG, System
+from tests.test_platform import CONFIG, HEARTBEAT, ApiHarness
 
 #: What a value may be that another writer put in its place.
 STRANGE = (None, True, -1, "x", [], {}, 1.5)
@@ -46,7 +46,7 @@
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5),
     lambda inner: (
         st.lists(inner, max_size=5)
-        | st.dictionaries(st.sampled_from([*BEAT, *VM]), inner, max_size=6)
+        | st.dictionaries(st.sampled_from([*HEARTBEAT, *VM]), inner, max_size=6)
     ),
     max_leaves=12,
 )
@@ -61,7 +61,7 @@
 
 @pytest.fixture
 def system():
-    made = System()
+    made = ApiHarness()
     assert made.put_config(CONFIG) == 200
     return made
 
@@ -113,21 +113,21 @@
                 continue  # Another name; see the pool that is not named.
             if field == "capacity" and value == {}:
                 continue  # A minion without room is one that takes nothing.
-            yield {**BEAT, field: value}
+            yield {**HEARTBEAT, field: value}
     for field in ("service", "address", "zone", "state", "seq", "capacity"):
-        yield {name: value for name, value in BEAT.items() if name != field}
-    yield {**BEAT, "state": "molten"}
-    yield {**BEAT, "address": "127.0.0.1:99999"}
-    yield {**BEAT, "capacity": {"cpu": "many"}}
-    yield {**BEAT, "labels": ["a", 5]}
+        yield {name: value for name, value in HEARTBEAT.items() if name != field}
+    yield {**HEARTBEAT, "state": "molten"}
+    yield {**HEARTBEAT, "address": "127.0.0.1:99999"}
+    yield {**HEARTBEAT, "capacity": {"cpu": "many"}}
+    yield {**HEARTBEAT, "labels": ["a", 5]}
 
 
 STRANGE_BEATS = tuple(make_strange_beats())
 
 
-@pytest.mark.parametrize("beat", STRANGE_BEATS, ids=str)
-def test_a_strange_heartbeat_makes_no_minion(system, beat):
-    answer = system.control.simulate_put("/-/instances/i-9", body=json.dumps(beat))
+@pytest.mark.parametrize("heartbeat", STRANGE_BEATS, ids=str)
+def test_a_strange_heartbeat_makes_no_minion(system, heartbeat):
+    answer = system.control.simulate_put("/-/instances/i-9", body=json.dumps(heartbeat))
     assert answer.status_code == 400
     assert "i-9" not in system.log.table.minion_by_id
 
@@ -140,17 +140,17 @@
 
 
 def test_a_minion_of_a_pool_that_is_not_named_is_refused(system):
-    assert system.beat("i-9", service="nobody").status_code == 400
+    assert system.heartbeat("i-9", service="nobody").status_code == 400
     assert "i-9" not in system.log.table.minion_by_id
 
 
-@pytest.mark.parametrize("beat", STRANGE_BEATS, ids=str)
-def test_a_strange_heartbeat_neither_renews_nor_ends_a_life(system, beat):
-    assert system.beat("i-1").status_code == 200
+@pytest.mark.parametrize("heartbeat", STRANGE_BEATS, ids=str)
+def test_a_strange_heartbeat_neither_renews_nor_ends_a_life(system, heartbeat):
+    assert system.heartbeat("i-1").status_code == 200
     before = system.log.table.minion_by_id["i-1"]
-    system.control.simulate_put("/-/instances/i-1", body=json.dumps(beat))
+    system.control.simulate_put("/-/instances/i-1", body=json.dumps(heartbeat))
     assert system.log.table.minion_by_id == {"i-1": before}
-    assert system.beat("i-1", seq=5, state="draining").status_code == 200
+    assert system.heartbeat("i-1", seq=5, state="draining").status_code == 200
     assert system.log.table.minion_by_id["i-1"].is_draining
 
 
@@ -158,7 +158,7 @@
 @given(body=JSON.map(lambda value: json.dumps(value).encode()) | st.binary())
 def test_any_heartbeat_is_a_beat_or_a_typed_error(body):
     try:
-        decode_beat("i-1", body)
+        decode_heartbeat("i-1", body)
     except HingepitchError as error:
         assert error.code == "bad_request"
 
@@ -169,7 +169,7 @@
 def look_of(body):
     minion = HttpMinion(make_minion(1))
     answer = Answer(200, [], encode(body))
-    return minion.read_look(answer, reply_of(answer))
+    return minion.decode_poll_reply(answer, reply_of(answer))
 
 
 def encode(body):
@@ -205,7 +205,7 @@
 @SETTINGS
 @given(rows=st.lists(JSON | st.just(ROW) | st.just(END), max_size=6))
 def test_any_rows_are_read_or_counted(rows):
-    for parse in (parse_running, parse_ended, to_row):
+    for parse in (parse_running, parse_ended, parse_vm_row):
         parsed, unread = parse_rows(parse, rows)
         assert len(parsed) + unread == len(rows)
 
--- a/tests/test_outside_answers.py
+++ b/tests/test_outside_answers.py
@@ -95,7 +95,7 @@
     seeds = ()
 
 
-class Program(reload.Reloading):
+class Program(reload.SettingsReloadMixin):
     book = Book()
 
 
@@ -113,7 +113,9 @@
     path = tmp_path / "settings.yaml"
     path.write_text(WHOLE[: len(WHOLE) // 2])
     monkeypatch.setenv(settings.SETTINGS_VARIABLE, str(path))
-    monkeypatch.setattr(reload, "AGAIN_SECONDS", (0.05, 0.05, 0.05), raising=False)
+    monkeypatch.setattr(
+        reload, "RETRY_PAUSES_SECONDS", (0.05, 0.05, 0.05), raising=False
+    )
     program = Program()
     reloading = gevent.spawn(program.reload)
     gevent.sleep(0)
@@ -126,5 +128,5 @@
     path = tmp_path / "settings.yaml"
     path.write_text("node: 5")
     monkeypatch.setenv(settings.SETTINGS_VARIABLE, str(path))
-    monkeypatch.setattr(reload, "AGAIN_SECONDS", (0.01, 0.01), raising=False)
+    monkeypatch.setattr(reload, "RETRY_PAUSES_SECONDS", (0.01, 0.01), raising=False)
     gevent.spawn(Program().reload).get(timeout=SECONDS)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -8,7 +8,7 @@
 from adapter.control import ControlApi
 from adapter.front import FrontApi
 from adapter.settings import read_settings
-from adapter.wire import decode_beat, decode_job, parse_ended
+from adapter.wire import decode_heartbeat, decode_job, parse_ended
 from hingepitch.error import HingepitchError
 from hingepitch.jobs import command as commands
 from hingepitch.jobs.client import JobClient
@@ -56,7 +56,7 @@
     ],
     "limits": {"max_body_bytes": 262144},
 }
-BEAT = {
+HEARTBEAT = {
     "service": "pool",
     "address": "127.0.0.1:9001",
     "zone": "h",
@@ -152,10 +152,16 @@
 
 
 def test_a_minions_account_is_decoded_into_its_own_terms():
-    beat = decode_beat("i-1", json.dumps({**BEAT, "state": "draining"}).encode())
-    assert (beat.sequence, beat.clock_ms) == (4, 5)
-    assert beat.minion.is_draining
-    assert (beat.minion.vm, beat.minion.pool, beat.minion.rack) == ("m-1", "pool", "r1")
+    heartbeat = decode_heartbeat(
+        "i-1", json.dumps({**HEARTBEAT, "state": "draining"}).encode()
+    )
+    assert (heartbeat.sequence, heartbeat.clock_ms) == (4, 5)
+    assert heartbeat.minion.is_draining
+    assert (heartbeat.minion.vm, heartbeat.minion.pool, heartbeat.minion.rack) == (
+        "m-1",
+        "pool",
+        "r1",
+    )
 
 
 def test_an_end_is_decoded_into_its_own_terms():
@@ -165,7 +171,7 @@
     assert (end.result, end.checkpoint) == (RunResult.LAPSED, "half")
 
 
-class System:
+class ApiHarness:
     """Both APIs over a group of one."""
 
     def __init__(self):
@@ -188,14 +194,14 @@
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
         return self.control.simulate_put("/-/config", body=data).status_code
 
-    def beat(self, life="i-1", **changes):
-        body = json.dumps({**BEAT, **changes}).encode()
+    def heartbeat(self, life="i-1", **changes):
+        body = json.dumps({**HEARTBEAT, **changes}).encode()
         return self.control.simulate_put(f"/-/instances/{life}", body=body)
 
 
 @pytest.fixture
 def system():
-    made = System()
+    made = ApiHarness()
     assert made.put_config(CONFIG) == 200
     return made
 
@@ -225,7 +231,7 @@
 
 
 def test_without_a_configuration_nothing_is_taken():
-    system = System()
+    system = ApiHarness()
     for method, path in (("POST", f"/q/{JOB}"), ("GET", f"/q/{JOB}"), ("GET", "/q/")):
         answer = system.call(method, path, JOB_BODY)
         assert answer.status_code == 503
@@ -316,25 +322,25 @@
 
 
 def test_a_minion_is_registered_and_told_where_the_leader_is(system):
-    assert system.beat().json == {"heartbeat_url": "10.0.0.1:80"}
+    assert system.heartbeat().json == {"heartbeat_url": "10.0.0.1:80"}
     assert system.log.table.minion_by_id["i-1"].pool == "pool"
-    system.beat(seq=5, state="draining")
+    system.heartbeat(seq=5, state="draining")
     assert system.log.table.minion_by_id["i-1"].is_draining
-    assert system.beat(seq=4).status_code == 200
+    assert system.heartbeat(seq=4).status_code == 200
     assert system.log.table.minion_by_id["i-1"].is_draining
 
 
 def test_a_draining_that_is_acknowledged_bars_every_later_start(system):
     system.call("POST", f"/q/{JOB}", JOB_BODY)
-    system.beat()
-    system.beat(seq=5, state="draining")
+    system.heartbeat()
+    system.heartbeat(seq=5, state="draining")
     assert system.log.start(task()) == [False]
 
 
 def test_a_minion_that_left_does_not_come_back_by_a_late_call(system):
-    system.beat()
+    system.heartbeat()
     assert system.control.simulate_delete("/-/instances/i-1").status_code == 200
-    assert system.beat(seq=9).status_code == 200
+    assert system.heartbeat(seq=9).status_code == 200
     assert "i-1" not in system.log.table.minion_by_id
 
 
@@ -360,7 +366,7 @@
     assert system.control.simulate_post("/-/wave-start", json=bad).status_code == 400
 
 
-class Refusing:
+class RefusingGroup:
     """A group whose calls end with the codes given, then with an answer."""
 
     def __init__(self, *codes):
@@ -389,7 +395,7 @@
     ],
 )
 def test_a_call_that_may_have_been_taken_is_never_called_refused(codes, expected):
-    client = JobClient(Refusing(*codes))
+    client = JobClient(RefusingGroup(*codes))
     if expected is None:
         assert client.ask(None, 0.5, 0.3) is None
         return
