--- a/tests/switch_program.py
+++ b/tests/switch_program.py
@@ -1,8 +1,8 @@
-"""A patched program that does one thing beside busy greenlets.
+"""Patched program that runs one scenario beside a busy greenlet.
 
-Prints how often others ran within it.
+Prints how often the scenario switched to another greenlet.
 
-usage: python -m tests.switch_program THING
+usage: python -m tests.switch_program SCENARIO
 """
 
 import os
@@ -24,25 +24,25 @@
 from hingepitch.logsink import MAX_KEPT_BYTES
 from hingepitch.metric import Metrics
 
-LINES = 600
+LINE_COUNT = 600
 
-#: More than a pipe and the buffer take, in characters.
-LONG = "x" * (2 * MAX_KEPT_BYTES // LINES)
+#: Text of a line, in characters; all lines exceed a pipe and the buffer.
+LONG_TEXT = "x" * (2 * MAX_KEPT_BYTES // LINE_COUNT)
 
-#: Bytes of one read of a slow reader, and its pause in seconds.
+#: Bytes per read of the slow reader, and its pause in seconds.
 SLOW_READ_BYTES = 512
 SLOW_PAUSE_SECONDS = 0.01
 
 
 class SwitchCount:
-    """Counts the switches between greenlets while it is entered."""
+    """Context manager that counts the switches between greenlets."""
 
     def __enter__(self):
         self.count = 0
-        greenlet.settrace(self.note)
+        greenlet.settrace(self.count_switch)
         return self
 
-    def note(self, event, greenlets):
+    def count_switch(self, event, greenlets):
         self.count += event == "switch"
 
     def __exit__(self, *error):
@@ -50,7 +50,7 @@
 
 
 class LoggingProgram:
-    """Logs many lines while another greenlet is always ready."""
+    """Logs many lines while another greenlet is always ready to run."""
 
     program = "logging"
 
@@ -61,82 +61,82 @@
         self.turns = 0
         self.switches = 0
 
-    def start_busy(self):
-        """Start the other greenlet; return it once it has run."""
-        other = gevent.spawn(self.be_busy)
+    def start_busy_greenlet(self):
+        """Start a greenlet that is always ready to run; return it once it has run."""
+        other = gevent.spawn(self.run_busy_loop)
         while not self.turns:
             gevent.sleep(0)
         return other
 
-    def be_busy(self):
+    def run_busy_loop(self):
         while True:
             self.turns += 1
             gevent.sleep(0)
 
     def run(self):
-        other = self.start_busy()
-        for number in range(LINES):
+        other = self.start_busy_greenlet()
+        for number in range(LINE_COUNT):
             with SwitchCount() as switches:
-                log_event("started", number=number, detail=LONG)
+                log_event("started", number=number, detail=LONG_TEXT)
             self.switches += switches.count
             gevent.sleep(0)
         other.kill()
 
 
 class FailingProgram(LoggingProgram):
-    """Has many greenlets whose errors nobody catches."""
+    """Starts many greenlets that fail with an uncaught error."""
 
     def run(self):
-        gevent.joinall([gevent.spawn(self.fail) for _ in range(LINES)])
+        gevent.joinall([gevent.spawn(self.fail) for _ in range(LINE_COUNT)])
 
     def fail(self):
-        raise ValueError(LONG)
+        raise ValueError(LONG_TEXT)
 
 
 def read_slowly(source):
-    """Read less than what is written, until the writer is gone."""
+    """Read more slowly than the writer writes, until it closes the pipe."""
     while nb_read(source, SLOW_READ_BYTES):
         gevent.sleep(SLOW_PAUSE_SECONDS)
 
 
 def read_all(source):
-    """Read all that comes, as it comes."""
+    """Read everything at once, until the writer closes the pipe."""
     while nb_read(source, MAX_KEPT_BYTES):
         pass
 
 
-def count_beside_others(function):
-    """Return how often others ran while `function` was called, again and again."""
-    other = LoggingProgram().start_busy()
+def count_switches_during(function):
+    """Return the number of greenlet switches during many calls of `function`."""
+    other = LoggingProgram().start_busy_greenlet()
     with SwitchCount() as switches:
-        for _ in range(LINES):
+        for _ in range(LINE_COUNT):
             function()
     other.kill()
     return switches.count
 
 
 def take_connection():
-    """Take an idle connection, and give it back."""
+    """Take an idle connection and give it back."""
     ours, _ = socket.socketpair()
     connections = MinionConnections(("127.0.0.1", 1))
     connections.give_back(ours)
-    return count_beside_others(lambda: connections.give_back(connections.take()))
+    return count_switches_during(lambda: connections.give_back(connections.take()))
 
 
-def note_metrics():
-    """Count, set and time."""
+def update_metrics():
+    """Update a counter, a gauge and a histogram."""
     metrics = Metrics("switches")
 
-    def note():
+    def update():
         metrics.count("orders", "Orders.", order="start")
         metrics.set("waiting", "Tasks.", 3)
         metrics.observe("seconds", "Time.", 0.5)
 
-    return count_beside_others(note)
+    return count_switches_during(update)
 
 
-def log_beside(reader):
-    """Log with a reader of one kind."""
+def log_with_reader(reader):
+    """Log to a pipe with one kind of reader."""
     source, sink = os.pipe()
     read = READERS[reader]
     if read is not None:
@@ -150,20 +150,20 @@
     return program.switches
 
 
-def fail_unseen():
-    """Fail in many greenlets."""
+def fail_uncaught():
+    """Run the program whose greenlets fail."""
     run_logged(FailingProgram(), sys.stderr)
     return 0
 
 
 READERS = {"quick": read_all, "slow": read_slowly, "full": None, "gone": None}
 
-THINGS = {
+SCENARIOS = {
     "connection": take_connection,
-    "metrics": note_metrics,
-    "errors": fail_unseen,
-    **{reader: partial(log_beside, reader) for reader in READERS},
+    "metrics": update_metrics,
+    "errors": fail_uncaught,
+    **{reader: partial(log_with_reader, reader) for reader in READERS},
 }
 
 if __name__ == "__main__":
-    print(THINGS[sys.argv[1]]())
+    print(SCENARIOS[sys.argv[1]]())
--- a/tests/test_other_writers.py
+++ b/tests/test_other_writers.py
@@ -1,11 +1,10 @@
-"""Messages of another writer: they name nothing to use, and the others hold.
-
-Seen: nothing was dispatched for the rest of a day although a leader was there;
-requests of all kinds failed, and lasting tasks that had lapsed had no run
-again. One way in which that comes about, shown here: a heartbeat whose address
-cannot be called was taken into the log as a minion. Making its client raised
-an error in the leader's loop, which ended the session; each later session and
-each later leader met the same record at once.
+"""Test malformed messages from other writers: they must not affect valid ones.
+
+Guards against a leader that dispatches nothing for the rest of a day, fails all
+requests and does not restart expired long-running tasks. This happens if a heartbeat
+with an address that cannot be called is committed as a minion: creating its client
+raises an error in the leader's loop and ends the session, and each later session and
+leader fails on the same record.
 """
 
 import json
@@ -31,22 +30,22 @@
 from tests.test_job_rules import JOB, make_minion, task
 from tests.test_platform import CONFIG, HEARTBEAT, ApiHarness
 
-#: What a value may be that another writer put in its place.
-STRANGE = (None, True, -1, "x", [], {}, 1.5)
+#: Values that another writer may put in a field.
+MALFORMED_VALUES = (None, True, -1, "x", [], {}, 1.5)
 
-ROW = [f"{JOB}.0.0.1", 2, "saved", 41, 7]
-END = [58, f"{JOB}.0.1.9", 3, "lapsed", "half"]
-VM = {"machine": "m-1", "pool": "p", "state": "up", "zone": "h", "labels": ["a"]}
+RUNNING_ROW = [f"{JOB}.0.0.1", 2, "saved", 41, 7]
+ENDED_ROW = [58, f"{JOB}.0.1.9", 3, "lapsed", "half"]
+VM_ENTRY = {"machine": "m-1", "pool": "p", "state": "up", "zone": "h", "labels": ["a"]}
 
-#: Answers of which nothing can be read.
+#: Answers that cannot be decoded at all.
 UNREADABLE = (b"", b"\xff", b"[]", b'{"clock_ms":"x"}', b"[" * 9000)
 
-SETTINGS = settings(max_examples=200, derandomize=True, deadline=None)
-JSON = st.recursive(
+HYPOTHESIS_SETTINGS = settings(max_examples=200, derandomize=True, deadline=None)
+JSON_VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=5),
     lambda inner: (
         st.lists(inner, max_size=5)
-        | st.dictionaries(st.sampled_from([*HEARTBEAT, *VM]), inner, max_size=6)
+        | st.dictionaries(st.sampled_from([*HEARTBEAT, *VM_ENTRY]), inner, max_size=6)
     ),
     max_leaves=12,
 )
@@ -66,20 +65,17 @@
     return made
 
 
-# The leader.
-
-
 @pytest.mark.parametrize("address", ["not an address", "", "10.0.0.1:none", "::1"])
 def test_a_minion_that_cannot_be_called_holds_nobody_up(rig, address):
-    stranger = make_minion(9, id="stranger", address=address)
-    rig.log.send(commands.RegisterMinion(stranger, 0))
+    uncallable_minion = make_minion(9, id="stranger", address=address)
+    rig.log.send(commands.RegisterMinion(uncallable_minion, 0))
     rig.submit(Step(2))
     rig.wait_status(JobStatus.SUCCEEDED)
 
 
-def test_what_ran_on_a_minion_that_cannot_be_called_runs_again(rig):
-    stranger = make_minion(9, id="stranger", address="nowhere")
-    rig.log.send(commands.RegisterMinion(stranger, 0))
+def test_task_of_an_uncallable_minion_runs_again(rig):
+    uncallable_minion = make_minion(9, id="stranger", address="nowhere")
+    rig.log.send(commands.RegisterMinion(uncallable_minion, 0))
     rig.log.submit(Step(1))
     assert rig.log.start(task(), minion="stranger") == [True]
     rig.replica.wake()
@@ -87,7 +83,7 @@
     assert "stranger" not in rig.log.table.minion_by_id
 
 
-def test_a_life_whose_address_is_put_right_is_called_again(rig):
+def test_incarnation_with_a_corrected_address_is_called_again(rig):
     minion = rig.minions[0]
     good = rig.log.table.minion_by_id[minion.life]
     session = wait_for_session(rig)
@@ -101,18 +97,15 @@
     return rig.dispatcher.session
 
 
-# Heartbeats.
-
-
-def make_strange_beats():
+def make_malformed_heartbeats():
     for field in ("service", "address", "zone", "state", "seq", "capacity", "labels"):
-        for value in STRANGE:
+        for value in MALFORMED_VALUES:
             if field == "labels" and value == []:
-                continue  # A minion without labels is a minion.
+                continue  # Labels are optional.
             if field in ("service", "zone") and value == "x":
-                continue  # Another name; see the pool that is not named.
+                continue  # Valid, or an unknown pool.
             if field == "capacity" and value == {}:
-                continue  # A minion without room is one that takes nothing.
+                continue  # Valid: the minion has no capacity.
             yield {**HEARTBEAT, field: value}
     for field in ("service", "address", "zone", "state", "seq", "capacity"):
         yield {name: value for name, value in HEARTBEAT.items() if name != field}
@@ -122,10 +115,10 @@
     yield {**HEARTBEAT, "labels": ["a", 5]}
 
 
-STRANGE_BEATS = tuple(make_strange_beats())
+MALFORMED_HEARTBEATS = tuple(make_malformed_heartbeats())
 
 
-@pytest.mark.parametrize("heartbeat", STRANGE_BEATS, ids=str)
+@pytest.mark.parametrize("heartbeat", MALFORMED_HEARTBEATS, ids=str)
 def test_a_strange_heartbeat_makes_no_minion(system, heartbeat):
     answer = system.control.simulate_put("/-/instances/i-9", body=json.dumps(heartbeat))
     assert answer.status_code == 400
@@ -133,19 +126,19 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"\xff\xfe", b"[1]", b"{", b"[" * 10_000])
-def test_a_heartbeat_that_cannot_be_read_makes_no_minion(system, body):
+def test_unreadable_heartbeat_registers_no_minion(system, body):
     answer = system.control.simulate_put("/-/instances/i-9", body=body)
     assert answer.status_code == 400
     assert not system.log.table.minion_by_id
 
 
-def test_a_minion_of_a_pool_that_is_not_named_is_refused(system):
+def test_minion_of_an_unknown_pool_is_refused(system):
     assert system.heartbeat("i-9", service="nobody").status_code == 400
     assert "i-9" not in system.log.table.minion_by_id
 
 
-@pytest.mark.parametrize("heartbeat", STRANGE_BEATS, ids=str)
-def test_a_strange_heartbeat_neither_renews_nor_ends_a_life(system, heartbeat):
+@pytest.mark.parametrize("heartbeat", MALFORMED_HEARTBEATS, ids=str)
+def test_malformed_heartbeat_neither_renews_nor_ends_an_incarnation(system, heartbeat):
     assert system.heartbeat("i-1").status_code == 200
     before = system.log.table.minion_by_id["i-1"]
     system.control.simulate_put("/-/instances/i-1", body=json.dumps(heartbeat))
@@ -154,19 +147,16 @@
     assert system.log.table.minion_by_id["i-1"].is_draining
 
 
-@SETTINGS
-@given(body=JSON.map(lambda value: json.dumps(value).encode()) | st.binary())
-def test_any_heartbeat_is_a_beat_or_a_typed_error(body):
+@HYPOTHESIS_SETTINGS
+@given(body=JSON_VALUES.map(lambda value: json.dumps(value).encode()) | st.binary())
+def test_any_heartbeat_body_is_decoded_or_raises_bad_request(body):
     try:
         decode_heartbeat("i-1", body)
     except HingepitchError as error:
         assert error.code == "bad_request"
 
 
-# Answers of a minion.
-
-
-def look_of(body):
+def poll_result_of(body):
     minion = HttpMinion(make_minion(1))
     answer = Answer(200, [], encode(body))
     return minion.decode_poll_reply(answer, reply_of(answer))
@@ -178,48 +168,56 @@
 
 @pytest.mark.parametrize("at", range(4))
 @pytest.mark.parametrize("value", [None, True, [], {}])
-def test_a_row_that_cannot_be_read_hides_no_other(at, value):
-    strange = [*ROW[:at], value, *ROW[at + 1 :]]
-    body = {"clock_ms": 1, "running": [strange, ROW, 5, ROW[:2]], "finished": []}
-    look = look_of(body)
-    assert look.running == (parse_running(ROW),)
+def test_unreadable_running_row_hides_no_other(at, value):
+    malformed = [*RUNNING_ROW[:at], value, *RUNNING_ROW[at + 1 :]]
+    body = {
+        "clock_ms": 1,
+        "running": [malformed, RUNNING_ROW, 5, RUNNING_ROW[:2]],
+        "finished": [],
+    }
+    look = poll_result_of(body)
+    assert look.running == (parse_running(RUNNING_ROW),)
     assert look.unread_running == 3
 
 
 @pytest.mark.parametrize("at", range(5))
-def test_an_end_that_cannot_be_read_hides_no_other(at):
-    strange = [*END[:at], {}, *END[at + 1 :]]
-    unknown = [*END[:3], "molten", ""]
-    look = look_of({"clock_ms": 1, "finished": [strange, unknown, END, None]})
-    assert look.ended == (parse_ended(END),)
+def test_unreadable_ended_row_hides_no_other(at):
+    malformed = [*ENDED_ROW[:at], {}, *ENDED_ROW[at + 1 :]]
+    unknown = [*ENDED_ROW[:3], "molten", ""]
+    look = poll_result_of(
+        {"clock_ms": 1, "finished": [malformed, unknown, ENDED_ROW, None]}
+    )
+    assert look.ended == (parse_ended(ENDED_ROW),)
     assert (look.unread_ended, look.unread_running) == (3, 0)
 
 
 @pytest.mark.parametrize(
     "body", [b"", b"\xff", b"[]", b'{"clock_ms":"x"}', b"[" * 9000]
 )
-def test_an_answer_that_cannot_be_read_is_none(body):
-    assert look_of(body).reply.kind is ReplyKind.UNSURE
+def test_unreadable_poll_reply_counts_as_no_reply(body):
+    assert poll_result_of(body).reply.kind is ReplyKind.UNSURE
 
 
-@SETTINGS
-@given(rows=st.lists(JSON | st.just(ROW) | st.just(END), max_size=6))
-def test_any_rows_are_read_or_counted(rows):
+@HYPOTHESIS_SETTINGS
+@given(
+    rows=st.lists(JSON_VALUES | st.just(RUNNING_ROW) | st.just(ENDED_ROW), max_size=6)
+)
+def test_any_rows_are_parsed_or_counted(rows):
     for parse in (parse_running, parse_ended, parse_vm_row):
         parsed, unread = parse_rows(parse, rows)
         assert len(parsed) + unread == len(rows)
 
 
-class HidingMinion(MemoryMinion):
-    """Shows its runs in rows that cannot be read."""
+class UnreadableRowsMinion(MemoryMinion):
+    """Minion that lists its runs in unreadable rows."""
 
     def look(self, order, seconds):
         look = super().look(order, seconds)
         return replace(look, running=(), unread_running=len(look.running))
 
 
-def test_a_run_that_a_strange_row_may_hide_goes_on():
-    minion = HidingMinion(task_seconds=0.8)
+def test_run_that_an_unreadable_row_may_hide_goes_on():
+    minion = UnreadableRowsMinion(task_seconds=0.8)
     rig = Rig(minion, connect=lambda record: minion)
     try:
         rig.submit(Step(1))
@@ -229,10 +227,7 @@
         rig.close()
 
 
-# The platform's list of VMs, and members of the group.
-
-
-def list_of(*pages):
+def list_vms_of(*pages):
     client = CloudClient("127.0.0.1:1")
     answers = [
         Answer(200, [], page if isinstance(page, bytes) else encode(page))
@@ -245,32 +240,32 @@
 @pytest.mark.parametrize(
     "entry",
     [
-        {name: value for name, value in VM.items() if name != "pool"},
-        {**VM, "machine": 7},
-        {**VM, "state": "molten"},
-        {**VM, "labels": "a"},
+        {name: value for name, value in VM_ENTRY.items() if name != "pool"},
+        {**VM_ENTRY, "machine": 7},
+        {**VM_ENTRY, "state": "molten"},
+        {**VM_ENTRY, "labels": "a"},
         None,
         "m-1",
     ],
     ids=str,
 )
-def test_a_strange_entry_of_the_list_hides_no_other(entry):
-    second = {**VM, "machine": "m-2"}
-    listed = list_of(
-        {"machines": [entry, VM], "next_token": "t"}, {"machines": [second]}
+def test_malformed_vm_entry_hides_no_other(entry):
+    second = {**VM_ENTRY, "machine": "m-2"}
+    listed = list_vms_of(
+        {"machines": [entry, VM_ENTRY], "next_token": "t"}, {"machines": [second]}
     )
     assert [row.vm for row in listed.rows] == ["m-1", "m-2"]
     assert listed.unread == 1
 
 
 @pytest.mark.parametrize("page", [b"", b"\xff", {"machines": 5}, []])
-def test_a_page_that_cannot_be_read_is_no_list(page):
-    assert list_of(page) is None
+def test_unreadable_page_yields_no_list(page):
+    assert list_vms_of(page) is None
 
 
-@SETTINGS
+@HYPOTHESIS_SETTINGS
 @given(data=st.binary())
-def test_any_members_are_read_or_a_typed_error(data):
+def test_any_member_list_is_decoded_or_raises_bad_request(data):
     try:
         decode_rows(data)
     except HingepitchError as error:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The adapter: settings, wire forms and the APIs over a group of one."""
+"""Test the adapter: settings, wire formats, and its APIs over one replica."""
 
 import json
 
@@ -81,7 +81,7 @@
     return load
 
 
-def test_settings_become_the_products_own(settings):
+def test_settings_are_converted_to_control_settings(settings):
     platform = settings(SETTINGS)
     control = platform.to_control()
     assert control.name == "control-10-1-0-11"
@@ -105,7 +105,7 @@
         ('"10.2.0.26:8623"]', '"nowhere"]', "seeds[1]"),
     ],
 )
-def test_a_fault_in_the_settings_is_named_by_its_path(settings, old, new, path):
+def test_invalid_setting_is_reported_with_its_path(settings, old, new, path):
     assert old in SETTINGS
     with pytest.raises(HingepitchError) as caught:
         settings(SETTINGS.replace(old, new))
@@ -113,7 +113,7 @@
     assert caught.value.detail.startswith(f"{path}:")
 
 
-def test_a_job_is_decoded_into_its_own_terms():
+def test_job_body_is_decoded():
     step = {
         "count": 4,
         "cpu": 500,
@@ -151,7 +151,7 @@
     )
 
 
-def test_a_minions_account_is_decoded_into_its_own_terms():
+def test_heartbeat_body_is_decoded():
     heartbeat = decode_heartbeat(
         "i-1", json.dumps({**HEARTBEAT, "state": "draining"}).encode()
     )
@@ -164,7 +164,7 @@
     )
 
 
-def test_an_end_is_decoded_into_its_own_terms():
+def test_ended_row_is_decoded():
     end = parse_ended([58, f"{JOB}.0.1.9", 3, "lapsed", "half"])
     assert end.task == TaskKey(JOB, 0, 1, 9)
     assert (end.sequence, end.number) == (58, 3)
@@ -172,7 +172,7 @@
 
 
 class ApiHarness:
-    """Both APIs over a group of one."""
+    """Entry and control APIs over a group of one replica."""
 
     def __init__(self):
         self.log = Log()
@@ -209,7 +209,7 @@
 JOB_BODY = {"spec": "text", "steps": [{"count": 2}]}
 
 
-def test_a_job_is_accepted_asked_for_and_cancelled(system):
+def test_job_is_submitted_queried_and_cancelled(system):
     assert system.call("GET", f"/q/{JOB}").status_code == 410
     assert system.call("DELETE", f"/q/{JOB}").status_code == 410
     assert system.call("POST", f"/q/{JOB}", JOB_BODY).status_code == 200
@@ -220,7 +220,7 @@
     assert system.call("GET", f"/q/{JOB}").json == {"state": "cancelled"}
 
 
-def test_a_queue_that_does_not_exist_is_not_found(system):
+def test_unknown_queue_is_not_found(system):
     for method, path in (
         ("POST", f"/no/{JOB}"),
         ("GET", f"/no/{JOB}"),
@@ -230,7 +230,7 @@
     assert system.call("GET", "/q/", host="other.example").status_code == 404
 
 
-def test_without_a_configuration_nothing_is_taken():
+def test_calls_without_a_configuration_are_refused():
     system = ApiHarness()
     for method, path in (("POST", f"/q/{JOB}"), ("GET", f"/q/{JOB}"), ("GET", "/q/")):
         answer = system.call(method, path, JOB_BODY)
@@ -270,7 +270,7 @@
 
 
 @pytest.mark.parametrize("path", ["/q/", "/q/xyz", "/q/" + "0" * 17, "/q/" + "g" * 16])
-def test_a_path_without_a_job_id_takes_no_job(system, path):
+def test_submission_without_a_job_id_is_refused(system, path):
     assert system.call("POST", path, JOB_BODY).status_code in (400, 404)
     assert not system.log.table.job_by_id
 
@@ -330,14 +330,14 @@
     assert system.log.table.minion_by_id["i-1"].is_draining
 
 
-def test_a_draining_that_is_acknowledged_bars_every_later_start(system):
+def test_acknowledged_draining_prevents_later_starts(system):
     system.call("POST", f"/q/{JOB}", JOB_BODY)
     system.heartbeat()
     system.heartbeat(seq=5, state="draining")
     assert system.log.start(task()) == [False]
 
 
-def test_a_minion_that_left_does_not_come_back_by_a_late_call(system):
+def test_late_heartbeat_does_not_restore_a_removed_minion(system):
     system.heartbeat()
     assert system.control.simulate_delete("/-/instances/i-1").status_code == 200
     assert system.heartbeat(seq=9).status_code == 200
@@ -345,13 +345,13 @@
 
 
 @pytest.mark.parametrize("body", [b"", b"{}", b'{"service":1}', b"[]"])
-def test_a_malformed_account_is_refused(system, body):
+def test_malformed_heartbeat_is_refused(system, body):
     answer = system.control.simulate_put("/-/instances/i-1", body=body)
     assert answer.status_code == 400
     assert not system.log.table.minion_by_id
 
 
-def test_a_wave_is_running_until_every_vm_had_its_upkeep(system):
+def test_wave_runs_until_every_vm_is_maintained(system):
     wave = {"wave": 3, "machines": ["m-1"], "duration_s": 20.5, "max_items": 1}
     for _ in range(2):
         answer = system.control.simulate_post("/-/wave-start", json=wave)
@@ -367,7 +367,7 @@
 
 
 class RefusingGroup:
-    """A group whose calls end with the codes given, then with an answer."""
+    """Group client whose calls fail with the given codes, then succeed."""
 
     def __init__(self, *codes):
         self.codes = list(codes)
@@ -394,7 +394,7 @@
         (("storage_failed", "no_queues"), "deadline_passed"),
     ],
 )
-def test_a_call_that_may_have_been_taken_is_never_called_refused(codes, expected):
+def test_call_that_may_have_been_executed_is_not_reported_as_refused(codes, expected):
     client = JobClient(RefusingGroup(*codes))
     if expected is None:
         assert client.ask(None, 0.5, 0.3) is None
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -1,4 +1,4 @@
-"""The system on a stand-in of the platform: real processes, real failures."""
+"""Test the system as real processes on a stub of the platform."""
 
 import signal
 
@@ -10,8 +10,8 @@
 
 CRASHING_JOB = f"{CRASHING_PREFIX}000000000001"
 
-#: Starts of a task that crashes its minions: three, and two more at most.
-MOST_STARTS = 5
+#: Most starts of a task that crashes its minions: three, and at most two more.
+MAX_STARTS = 5
 
 JOBS = [f"{number:016x}" for number in range(1, 31)]
 
@@ -28,7 +28,7 @@
     return all(site.state(job) == "succeeded" for job in jobs)
 
 
-def finish(site, jobs):
+def wait_until_succeeded(site, jobs):
     wait_for(lambda: all_succeeded(site, jobs), 40, "the end of all jobs")
     assert not site.doubled_tasks()
 
@@ -39,29 +39,30 @@
     site.process_by_ip[site.leader()].kill()
     for job in JOBS[10:20]:
         assert site.submit(job, 3, 2) == 200
-    finish(site, JOBS[:20])
+    wait_until_succeeded(site, JOBS[:20])
 
 
-def figures(ip):
+def scrape_metrics(ip):
     return http_call(f"{ip}:{METRICS_PORT}", "GET", "/metrics")[2].decode()
 
 
-def test_the_leader_and_the_entries_tell_what_they_did_and_how_long_it_took(site):
+def test_leader_and_entries_export_counts_and_durations(site):
     for job in JOBS[:3]:
         assert site.submit(job, 2, 1) == 200
-    finish(site, JOBS[:3])
-    told = figures(site.leader())
-    assert 'hingepitch_runs_ended{program="control",result="done"} 9' in told
+    wait_until_succeeded(site, JOBS[:3])
+    exported = scrape_metrics(site.leader())
+    assert 'hingepitch_runs_ended{program="control",result="done"} 9' in exported
     for name in ("first_start_seconds", "job_seconds", "commit_seconds"):
-        assert f"hingepitch_{name}_bucket" in told
+        assert f"hingepitch_{name}_bucket" in exported
     assert (
-        'hingepitch_job_seconds_count{program="control",status="succeeded"} 3' in told
+        'hingepitch_job_seconds_count{program="control",status="succeeded"} 3'
+        in exported
     )
-    entries = "".join(figures(ip) for ip in site.entry_ips)
+    entries = "".join(scrape_metrics(ip) for ip in site.entry_ips)
     assert 'hingepitch_call_seconds_count{method="POST",program="entry"}' in entries
 
 
-def test_a_paused_leader_does_no_harm_when_it_wakes(site):
+def test_suspended_leader_runs_no_task_twice_when_it_resumes(site):
     for job in JOBS[:10]:
         assert site.submit(job, 3, 2) == 200
     paused = site.process_by_ip[site.leader()]
@@ -69,10 +70,10 @@
     for job in JOBS[10:20]:
         assert site.submit(job, 3, 2) == 200
     paused.signal(signal.SIGCONT)
-    finish(site, JOBS[:20])
+    wait_until_succeeded(site, JOBS[:20])
 
 
-def test_all_controls_killed_at_once_lose_nothing(site):
+def test_all_controls_killed_at_once_lose_no_jobs_or_configuration(site):
     for job in JOBS[:10]:
         assert site.submit(job, 3, 2) == 200
     assert site.put_config(5, ("/q/", "/more/")) == 200
@@ -80,12 +81,12 @@
         site.process_by_ip[ip].kill()
     for ip in site.control_ips:
         site.restart(ip)
-    finish(site, JOBS[:10])
+    wait_until_succeeded(site, JOBS[:10])
     body = site.on_any_control("GET", "/-/config")[2]
     assert b'"version": 5' in body
 
 
-def test_two_lost_disks_are_replaced_by_themselves_and_lose_nothing(site):
+def test_two_lost_disks_are_replaced_without_loss_of_jobs(site):
     for job in JOBS[:10]:
         assert site.submit(job, 3, 2) == 200
     lost = site.control_ips[:2]
@@ -100,29 +101,29 @@
         site.process_by_ip[ip].kill()
     for job in JOBS[10:12]:
         assert site.submit(job, 3) == 200
-    finish(site, JOBS[:12])
+    wait_until_succeeded(site, JOBS[:12])
 
 
-def test_a_job_that_crashes_its_minions_fails_through_restarts_of_all(site):
-    """The count of crashes must outlive leaders, snapshots and programs."""
+def test_crashing_job_fails_in_spite_of_restarts_of_all_controls(site):
+    """The crash count must survive changes of leader, snapshots and restarts."""
     assert site.submit(CRASHING_JOB, 3) == 200
     for job in JOBS[:10]:
         assert site.submit(job, 3, 2) == 200
-    culprit = f"{CRASHING_JOB}.0.0.0"
-    wait_for(lambda: site.starts_of(culprit) >= 1, 20, "a first crash")
+    crashing_task = f"{CRASHING_JOB}.0.0.0"
+    wait_for(lambda: site.starts_of(crashing_task) >= 1, 20, "a first crash")
     site.process_by_ip[site.leader()].kill()
-    wait_for(lambda: site.starts_of(culprit) >= 2, 30, "a second crash")
+    wait_for(lambda: site.starts_of(crashing_task) >= 2, 30, "a second crash")
     for ip in site.control_ips:
         if site.is_running(ip):
             site.process_by_ip[ip].kill()
     for ip in site.control_ips:
         site.restart(ip)
     wait_for(lambda: site.state(CRASHING_JOB) == "failed", 40, "the job given up")
-    assert site.starts_of(culprit) <= MOST_STARTS
-    finish(site, JOBS[:10])
+    assert site.starts_of(crashing_task) <= MAX_STARTS
+    wait_until_succeeded(site, JOBS[:10])
 
 
-def test_a_stopped_entry_answers_what_it_has_taken(site):
+def test_terminated_entry_is_not_ready_and_still_answers(site):
     ip = site.entry_ips[0]
     process = site.process_by_ip[ip]
     ready = f"{ip}:{site.ready_port}"
@@ -137,7 +138,7 @@
     assert process.popen.wait(10) == 0
 
 
-def test_changed_seeds_are_taken_over_and_faulty_settings_are_not(site):
+def test_reload_applies_seeds_and_refuses_invalid_settings(site):
     ip = site.entry_ips[0]
     process = site.process_by_ip[ip]
     path = site.folder / f"{ip}.yaml"
@@ -151,7 +152,7 @@
     assert site.call("GET", "/q/")[0] == 200
 
 
-def test_an_entry_without_controls_refuses_at_once_and_truly(site):
+def test_entry_without_controls_refuses_jobs_that_were_not_accepted(site):
     for ip in site.control_ips:
         site.process_by_ip[ip].kill()
     address = f"{site.entry_ips[0]}:{site.port}"
--- a/tests/test_site_ends.py
+++ b/tests/test_site_ends.py
@@ -1,9 +1,9 @@
-"""Real programs that meet what ended programs for good, at their start or later.
+"""Test that real programs survive faults that recur at every start.
 
-The record of the incident shows programs that were started again and ended at
-the same line each time. These tests bring about other causes of the same kind:
-a program of an earlier version in the group, addresses and a data folder that
-are still in use. Each has to wait, or to go on without what it lacks.
+In an incident, programs were restarted and ended at the same line each time. These
+tests cause other persistent faults: a program of an earlier version in the group,
+and addresses and a data folder that are still in use. The program must wait, or run
+without the missing part.
 """
 
 import json
@@ -20,7 +20,7 @@
 
 JOBS = [f"{number:016x}" for number in range(1, 11)]
 
-#: Starts a control program that does not know one kind of command.
+#: Script of a control program that does not know one kind of command.
 EARLIER_VERSION = """
 import runpy, sys
 sys.path[:0] = [".", "platform"]
@@ -44,9 +44,9 @@
 def start_earlier_version(site, ip):
     process = site.process_by_ip[ip]
     process.kill()
-    later, process.command = process.command, [sys.executable, "-c", EARLIER_VERSION]
+    command, process.command = process.command, [sys.executable, "-c", EARLIER_VERSION]
     process.start()
-    process.command = later
+    process.command = command
     wait_for(lambda: site.status(ip), what="the earlier version")
 
 
@@ -55,42 +55,42 @@
     return site.on_any_control("POST", "/-/wave-start", json.dumps(body))[0]
 
 
-def finish(site, jobs):
+def wait_until_succeeded(site, jobs):
     done = ["succeeded"] * len(jobs)
     wait_for(lambda: [site.state(job) for job in jobs] == done, 40, "the jobs' end")
     assert not site.doubled_tasks()
 
 
-def test_programs_of_an_earlier_version_store_and_vote_and_go_on(site):
+def test_earlier_version_stores_and_votes_on_unknown_commands(site):
     leader = site.leader()
     earlier = [ip for ip in site.control_ips if ip != leader][:2]
     for ip in earlier:
         start_earlier_version(site, ip)
     assert put_wave(site) == 200
     wait_for(lambda: all(site.status(ip)["unread"] for ip in earlier), what="unread")
-    # Three are left of five; two of them are the earlier ones.
+    # Three of five replicas are left; two of them run the earlier version.
     others = [ip for ip in site.control_ips if ip not in earlier]
     for ip in others[:2]:
         site.process_by_ip[ip].kill()
     assert site.submit(JOBS[0], 2) == 200
-    finish(site, JOBS[:1])
+    wait_until_succeeded(site, JOBS[:1])
     assert site.leader() == others[2]
     for ip in earlier:
         assert site.process_by_ip[ip].is_running()
         assert site.process_by_ip[ip].log().count("event=entry_unread") == 1
         assert http_call(f"{ip}:{site.port}", "GET", "/healthz")[0] == 503
-    # Started as the later version, one of them takes the place of the leader.
+    # Restarted with the later version, they can replace the leader.
     for ip in earlier:
         site.restart(ip)
     for ip in others[:1]:
         site.restart(ip)
     site.process_by_ip[others[2]].kill()
     assert site.submit(JOBS[1], 2) == 200
-    finish(site, JOBS[:2])
+    wait_until_succeeded(site, JOBS[:2])
     assert not any(site.status(ip)["unread"] for ip in earlier)
 
 
-def test_a_leader_of_an_earlier_version_hands_over_and_goes_on(site):
+def test_leader_of_an_earlier_version_hands_over(site):
     for ip in site.control_ips:
         start_earlier_version(site, ip)
     for ip in site.control_ips[:2]:
@@ -99,12 +99,12 @@
     assert put_wave(site) == 200
     wait_for(lambda: site.leader() in site.control_ips[:2], 40, "a leader that can")
     assert site.submit(JOBS[0], 2) == 200
-    finish(site, JOBS[:1])
+    wait_until_succeeded(site, JOBS[:1])
     assert all(site.process_by_ip[ip].is_running() for ip in site.control_ips)
 
 
 def occupy(stack, *addresses):
-    """Listen at addresses until the stack is closed."""
+    """Listen on the addresses until the stack is closed."""
     for address in addresses:
         sock = stack.enter_context(socket.socket())
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -116,7 +116,7 @@
     return process.log().count("event=address_refused")
 
 
-def test_a_control_program_goes_on_without_the_addresses_that_are_in_use(site):
+def test_control_program_runs_while_its_addresses_are_in_use(site):
     ip, other = site.control_ips[:2]
     process = site.process_by_ip[ip]
     process.kill()
@@ -124,18 +124,18 @@
         occupy(stack, (ip, site.port), (ip, METRICS_PORT))
         process.start()
         wait_for(lambda: refusals(process) == 2, what="both refusals")
-        # It votes: with two others gone, nothing is answered without it.
+        # With two others killed, the quorum needs this replica's vote.
         for gone in site.control_ips[3:]:
             site.process_by_ip[gone].kill()
         assert site.submit(JOBS[0], 2) == 200
-        finish(site, JOBS[:1])
+        wait_until_succeeded(site, JOBS[:1])
         assert process.is_running()
     wait_for(lambda: site.status(ip), what="an answer at its own address")
     assert http_call(f"{ip}:{METRICS_PORT}", "GET", "/metrics")[0] == 200
     assert site.status(other)
 
 
-def test_an_entry_is_not_ready_before_it_has_its_address(site):
+def test_entry_is_not_ready_while_its_address_is_in_use(site):
     ip = site.entry_ips[0]
     process = site.process_by_ip[ip]
     process.kill()
@@ -150,7 +150,7 @@
     assert process.is_running()
 
 
-def test_a_program_waits_until_the_one_before_it_has_gone(site):
+def test_program_waits_for_the_folder_lock_of_its_predecessor(site):
     ip = site.control_ips[0]
     before = site.process_by_ip[ip]
     before.signal(signal.SIGSTOP)
--- a/tests/test_site_power.py
+++ b/tests/test_site_power.py
@@ -1,11 +1,10 @@
-"""The incident on real processes: all controls lose power in a storm of changes.
-
-Seen: control programs ended at every start with a decode error, so there was no
-quorum, no leader, no configuration and no answer to jobs. How it came about: the
-disks kept what the syncs covered, and of the writes since then what chance left.
-Cause: the audit trail, whose pieces no sync covers for a thousand entries, was
-decoded by the start as if it were whole. Proof: before the mend, controls end by
-themselves here; see the first test.
+"""Test power losses of all control replicas under many configuration changes.
+
+Guards against control programs that end at every start with a decode error, so that
+there is no quorum, no leader, no configuration and no answer to jobs. A disk that
+loses power keeps all synced writes and an arbitrary part of the later ones. The audit
+trail, whose segments are synced only every thousand entries, was decoded at the start
+as if it were complete.
 """
 
 import random
@@ -18,21 +17,21 @@
 from standin.cluster import wait_for
 from standin.site import Site
 
-#: Changes between two losses: their audit records are more than two pieces of
-#: 8 KB, and one change in seven is tens of kilobytes.
-CHANGES = 200
+#: Configuration changes between two losses. Their audit records exceed two pieces
+#: of 8 KB, and one change in seven is tens of kilobytes.
+CHANGES_BETWEEN_LOSSES = 200
 
-#: Until calls are served again, in seconds. Source: `recovery_s` of the users'
-#: pages.
+#: Longest time until calls are served again, in seconds. Source: the users'
+#: `recovery_s`.
 RECOVERY_SECONDS = 12
-END_SECONDS = 40
+FINISH_SECONDS = 40
 
-#: From a restart to the next loss, while the programs recover, in seconds.
+#: Range of the time from a restart to a power loss during recovery, in seconds.
 RECOVERY_LOSS_SECONDS = (0.1, 0.6)
 
 
-class Storm:
-    """A site under configuration changes and jobs, whose controls lose power."""
+class PowerLossHarness:
+    """Site under load whose control replicas lose power."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -55,50 +54,50 @@
         for client in self.clients:
             client.stop()
 
-    def begin(self):
+    def start_clients(self):
         self.site.start()
         wait_for(self.writer.step, what="the first configuration")
         for client in self.clients:
             client.start()
 
-    def await_changes(self, count=CHANGES):
+    def wait_for_changes(self, count=CHANGES_BETWEEN_LOSSES):
         first = self.writer.ack_count
         try:
             wait_for(lambda: self.writer.ack_count >= first + count, 30, "the changes")
         except TimeoutError as error:
             statuses = {ip: self.site.status(ip) for ip in self.site.control_ips}
             logs = [self.site.process_by_ip[ip].log()[-2000:] for ip in statuses]
-            told = (self.writer.sent, self.writer.acked, self.record.breaches)
-            raise AssertionError(f"{error}: {told} {statuses} {logs}") from None
+            state = (self.writer.sent, self.writer.acked, self.record.breaches)
+            raise AssertionError(f"{error}: {state} {statuses} {logs}") from None
 
-    def lose_all_power(self, but=()):
-        others = [ip for ip in self.site.control_ips if ip not in but]
+    def lose_all_power(self, excluded=()):
+        others = [ip for ip in self.site.control_ips if ip not in excluded]
         self.site.kill(*self.site.control_ips)
-        self.site.lose_disk(*but)
+        self.site.lose_disk(*excluded)
         self.site.lose_power(self.rng, *others)
 
     def restart(self):
         for ip in self.site.control_ips:
             self.site.restart(ip)
 
-    def has_ended(self):
+    def has_ended_process(self):
         self.site.note_ended()
         return bool(self.site.ended)
 
-    def await_service(self):
-        """Wait until the configuration is read; the reader compares it."""
+    def wait_for_service(self):
+        """Wait until the reader gets the configuration; it checks the content."""
         wait_for(
-            lambda: self.has_ended() or self.reader.step(),
+            lambda: self.has_ended_process() or self.reader.step(),
             RECOVERY_SECONDS,
             "the configuration",
         )
         check_processes(self.record, self.site)
         assert self.record.breaches == []
 
-    def end(self):
+    def finish_and_check(self):
         for client in self.clients:
             client.stop()
-        self.caller.finish(time.monotonic() + END_SECONDS)
+        self.caller.finish(time.monotonic() + FINISH_SECONDS)
         check_tasks(self.record, self.site, self.caller.jobs)
         check_processes(self.record, self.site)
         check_logs(self.record, self.site)
@@ -106,40 +105,40 @@
         assert self.caller.accepted()
 
 
-def lose_power_again_and_again(seed):
-    with Storm(seed) as storm:
-        storm.begin()
+def lose_power_repeatedly(seed):
+    with PowerLossHarness(seed) as harness:
+        harness.start_clients()
         for recovery_losses in (0, 1, 2):
-            storm.await_changes()
-            storm.lose_all_power()
+            harness.wait_for_changes()
+            harness.lose_all_power()
             for _ in range(recovery_losses):
-                storm.restart()
-                time.sleep(storm.rng.uniform(*RECOVERY_LOSS_SECONDS))
-                storm.lose_all_power()
-            storm.restart()
-            storm.await_service()
-        storm.end()
-
-
-def lose_two_disks_and_all_other_power(seed):
-    with Storm(seed) as storm:
-        storm.begin()
-        wait_for(storm.site.whole_group, what="the group")
-        lost = storm.rng.sample(storm.site.control_ips, 2)
-        before = storm.site.whole_group()
+                harness.restart()
+                time.sleep(harness.rng.uniform(*RECOVERY_LOSS_SECONDS))
+                harness.lose_all_power()
+            harness.restart()
+            harness.wait_for_service()
+        harness.finish_and_check()
+
+
+def lose_two_disks_and_power_of_the_others(seed):
+    with PowerLossHarness(seed) as harness:
+        harness.start_clients()
+        wait_for(harness.site.whole_group, what="the group")
+        lost = harness.rng.sample(harness.site.control_ips, 2)
+        before = harness.site.whole_group()
         gone = {before[ip] for ip in lost}
-        storm.await_changes()
-        storm.await_changes(1)
-        storm.lose_all_power(but=lost)
-        storm.restart()
-        storm.await_service()
-        wait_for(lambda: storm.site.whole_group(gone), END_SECONDS, "new replicas")
-        storm.end()
+        harness.wait_for_changes()
+        harness.wait_for_changes(1)
+        harness.lose_all_power(excluded=lost)
+        harness.restart()
+        harness.wait_for_service()
+        wait_for(lambda: harness.site.whole_group(gone), FINISH_SECONDS, "new replicas")
+        harness.finish_and_check()
 
 
-def test_all_controls_lose_power_again_and_again():
-    lose_power_again_and_again(1)
+def test_all_controls_lose_power_repeatedly():
+    lose_power_repeatedly(1)
 
 
-def test_two_lose_their_disks_while_all_others_lose_power():
-    lose_two_disks_and_all_other_power(1)
+def test_two_controls_lose_disks_while_the_others_lose_power():
+    lose_two_disks_and_power_of_the_others(1)
--- a/tests/test_walks.py
+++ b/tests/test_walks.py
@@ -1,4 +1,4 @@
-"""From the id of a request to its cause, by log lines alone, as the page says."""
+"""Test that log lines alone lead from a job id to the cause, as documented."""
 
 import re
 from datetime import datetime
@@ -20,7 +20,7 @@
 
 
 def lines_of(site, job):
-    """Return the lines about a job from all processes, as maps, in their order."""
+    """Return the log lines about a job from all processes, as dicts, by time."""
     lines = [
         dict(PAIR.findall(line))
         for process in site.process_by_ip.values()
@@ -30,7 +30,7 @@
     return sorted(lines, key=lambda line: line["time"])
 
 
-def wait_lines(site, job, event, count=1, **fields):
+def wait_for_lines(site, job, event, count=1, **fields):
     wanted = {"event": event, **fields}.items()
 
     def found():
@@ -40,24 +40,24 @@
     try:
         return wait_for(found, what=f"{count} lines {event}")
     except TimeoutError as error:
-        raise AssertionError(f"{error}\n{story_of(site, job, event)}") from None
+        raise AssertionError(f"{error}\n{diagnostics_of(site, job, event)}") from None
 
 
-#: Events of a leader that comes or goes, and of lines that were not written.
-STORY_EVENTS = re.compile(
+#: Events of a change of leader, and of lines that were not written.
+DIAGNOSTIC_EVENTS = re.compile(
     r"event=(role_changed|session_\w+|leader_\w+|lines_\w+|child_failed)"
 )
 
 
-def story_of(site, job, event):
-    """Return what may tell why lines are missing."""
+def diagnostics_of(site, job, event):
+    """Return log lines that may explain why expected lines are missing."""
     lines = lines_of(site, job)
     tasks = [one.get("task") for one in lines if one["event"] == event]
     log = [
         line
         for process in site.process_by_ip.values()
         for line in process.log().splitlines()
-        if STORY_EVENTS.search(line)
+        if DIAGNOSTIC_EVENTS.search(line)
     ]
     return "\n".join([f"{len(tasks)} lines, of {sorted(set(tasks))}", *sorted(log)])
 
@@ -67,25 +67,27 @@
     return (times[1] - times[0]).total_seconds()
 
 
-def test_a_late_job_shows_where_its_time_went(site):
+def test_log_shows_that_a_job_waited_for_capacity(site):
     job = f"{1:016x}"
-    assert site.submit(job, 100) == 200, "more tasks than the minions have room for"
+    assert site.submit(job, 100) == 200, "more tasks than the minions have capacity for"
     wait_for(lambda: site.state(job) == "succeeded", what="the end of the job")
-    accepted = wait_lines(site, job, "job_accepted")[0]
-    started = wait_lines(site, job, "run_ordered", 100, reply="done")
-    ended = wait_lines(site, job, "run_ended", 100, result="done")
+    accepted = wait_for_lines(site, job, "job_accepted")[0]
+    started = wait_for_lines(site, job, "run_ordered", 100, reply="done")
+    ended = wait_for_lines(site, job, "run_ended", 100, result="done")
     assert len({line["task"] for line in started}) == 100
-    assert seconds_between(started[0], ended[0]) > 0, "the first ones found room"
-    assert seconds_between(ended[0], started[-1]) > 0, "the last ones waited for it"
-    for_the_first = seconds_between(accepted, started[0])
-    assert for_the_first < seconds_between(started[0], started[-1])
+    assert seconds_between(started[0], ended[0]) > 0, (
+        "the first tasks found free capacity"
+    )
+    assert seconds_between(ended[0], started[-1]) > 0, "the last tasks waited for it"
+    first_wait = seconds_between(accepted, started[0])
+    assert first_wait < seconds_between(started[0], started[-1])
 
 
-def test_a_failed_job_shows_each_try_and_its_minion(site):
+def test_log_shows_each_attempt_of_a_failed_job(site):
     job = FAILING_PREFIX.ljust(16, "0")
     assert site.submit(job, 1) == 200
     wait_for(lambda: site.state(job) == "failed", what="the failure")
-    ends = wait_lines(site, job, "run_ended", 3)
+    ends = wait_for_lines(site, job, "run_ended", 3)
     assert [(line["run"], line["result"]) for line in ends] == [
         ("1", "failed"),
         ("2", "failed"),
@@ -94,7 +96,7 @@
     assert all(line["minion"].startswith("i-") for line in ends)
 
 
-def test_a_refused_job_shows_its_code_and_the_lost_leader(site):
+def test_log_shows_the_code_of_a_refused_job_and_the_lost_leader(site):
     job = f"{3:016x}"
     for ip in site.control_ips:
         site.process_by_ip[ip].kill()
@@ -102,7 +104,7 @@
     address = f"{site.entry_ips[0]}:{site.port}"
     answer = http_call(address, "POST", f"/q/{job}", body, {"Host": HOST}, timeout=3)
     code = {503: "no_leader", 504: "deadline_passed"}[answer[0]]
-    refused = wait_lines(site, job, "request_refused")[0]
+    refused = wait_for_lines(site, job, "request_refused")[0]
     assert (refused["method"], refused["code"]) == ("POST", code)
     entry = site.process_by_ip[site.entry_ips[0]]
     wait_for(lambda: "event=leader_lost" in entry.log(), what="the lost leader")
