--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,4 @@
-"""The adapter: settings, wire forms and the APIs over a group of one."""
+"""Test the adapter: settings, wire formats, and its APIs over one replica."""
 
 import json
 
@@ -8,7 +8,7 @@
 from adapter.control import ControlApi
 from adapter.front import FrontApi
 from adapter.settings import read_settings
-from adapter.wire import decode_beat, decode_job, parse_ended
+from adapter.wire import decode_heartbeat, decode_job, parse_ended
 from hingepitch.error import HingepitchError
 from hingepitch.jobs import command as commands
 from hingepitch.jobs.client import JobClient
@@ -56,7 +56,7 @@
     ],
     "limits": {"max_body_bytes": 262144},
 }
-BEAT = {
+HEARTBEAT = {
     "service": "pool",
     "address": "127.0.0.1:9001",
     "zone": "h",
@@ -81,7 +81,7 @@
     return load
 
 
-def test_settings_become_the_products_own(settings):
+def test_settings_are_converted_to_control_settings(settings):
     platform = settings(SETTINGS)
     control = platform.to_control()
     assert control.name == "control-10-1-0-11"
@@ -105,7 +105,7 @@
         ('"10.2.0.26:8623"]', '"nowhere"]', "seeds[1]"),
     ],
 )
-def test_a_fault_in_the_settings_is_named_by_its_path(settings, old, new, path):
+def test_invalid_setting_is_reported_with_its_path(settings, old, new, path):
     assert old in SETTINGS
     with pytest.raises(HingepitchError) as caught:
         settings(SETTINGS.replace(old, new))
@@ -113,7 +113,7 @@
     assert caught.value.detail.startswith(f"{path}:")
 
 
-def test_a_job_is_decoded_into_its_own_terms():
+def test_job_body_is_decoded():
     step = {
         "count": 4,
         "cpu": 500,
@@ -151,22 +151,28 @@
     )
 
 
-def test_a_minions_account_is_decoded_into_its_own_terms():
-    beat = decode_beat("i-1", json.dumps({**BEAT, "state": "draining"}).encode())
-    assert (beat.sequence, beat.clock_ms) == (4, 5)
-    assert beat.minion.is_draining
-    assert (beat.minion.vm, beat.minion.pool, beat.minion.rack) == ("m-1", "pool", "r1")
+def test_heartbeat_body_is_decoded():
+    heartbeat = decode_heartbeat(
+        "i-1", json.dumps({**HEARTBEAT, "state": "draining"}).encode()
+    )
+    assert (heartbeat.sequence, heartbeat.clock_ms) == (4, 5)
+    assert heartbeat.minion.is_draining
+    assert (heartbeat.minion.vm, heartbeat.minion.pool, heartbeat.minion.rack) == (
+        "m-1",
+        "pool",
+        "r1",
+    )
 
 
-def test_an_end_is_decoded_into_its_own_terms():
+def test_ended_row_is_decoded():
     end = parse_ended([58, f"{JOB}.0.1.9", 3, "lapsed", "half"])
     assert end.task == TaskKey(JOB, 0, 1, 9)
     assert (end.sequence, end.number) == (58, 3)
     assert (end.result, end.checkpoint) == (RunResult.LAPSED, "half")
 
 
-class System:
-    """Both APIs over a group of one."""
+class ApiHarness:
+    """Entry and control APIs over a group of one replica."""
 
     def __init__(self):
         self.log = Log()
@@ -188,14 +194,14 @@
         data = body if isinstance(body, bytes) else json.dumps(body).encode()
         return self.control.simulate_put("/-/config", body=data).status_code
 
-    def beat(self, life="i-1", **changes):
-        body = json.dumps({**BEAT, **changes}).encode()
+    def heartbeat(self, life="i-1", **changes):
+        body = json.dumps({**HEARTBEAT, **changes}).encode()
         return self.control.simulate_put(f"/-/instances/{life}", body=body)
 
 
 @pytest.fixture
 def system():
-    made = System()
+    made = ApiHarness()
     assert made.put_config(CONFIG) == 200
     return made
 
@@ -203,7 +209,7 @@
 JOB_BODY = {"spec": "text", "steps": [{"count": 2}]}
 
 
-def test_a_job_is_accepted_asked_for_and_cancelled(system):
+def test_job_is_submitted_queried_and_cancelled(system):
     assert system.call("GET", f"/q/{JOB}").status_code == 410
     assert system.call("DELETE", f"/q/{JOB}").status_code == 410
     assert system.call("POST", f"/q/{JOB}", JOB_BODY).status_code == 200
@@ -214,7 +220,7 @@
     assert system.call("GET", f"/q/{JOB}").json == {"state": "cancelled"}
 
 
-def test_a_queue_that_does_not_exist_is_not_found(system):
+def test_unknown_queue_is_not_found(system):
     for method, path in (
         ("POST", f"/no/{JOB}"),
         ("GET", f"/no/{JOB}"),
@@ -224,8 +230,8 @@
     assert system.call("GET", "/q/", host="other.example").status_code == 404
 
 
-def test_without_a_configuration_nothing_is_taken():
-    system = System()
+def test_calls_without_a_configuration_are_refused():
+    system = ApiHarness()
     for method, path in (("POST", f"/q/{JOB}"), ("GET", f"/q/{JOB}"), ("GET", "/q/")):
         answer = system.call(method, path, JOB_BODY)
         assert answer.status_code == 503
@@ -264,7 +270,7 @@
 
 
 @pytest.mark.parametrize("path", ["/q/", "/q/xyz", "/q/" + "0" * 17, "/q/" + "g" * 16])
-def test_a_path_without_a_job_id_takes_no_job(system, path):
+def test_submission_without_a_job_id_is_refused(system, path):
     assert system.call("POST", path, JOB_BODY).status_code in (400, 404)
     assert not system.log.table.job_by_id
 
@@ -316,36 +322,36 @@
 
 
 def test_a_minion_is_registered_and_told_where_the_leader_is(system):
-    assert system.beat().json == {"heartbeat_url": "10.0.0.1:80"}
+    assert system.heartbeat().json == {"heartbeat_url": "10.0.0.1:80"}
     assert system.log.table.minion_by_id["i-1"].pool == "pool"
-    system.beat(seq=5, state="draining")
+    system.heartbeat(seq=5, state="draining")
     assert system.log.table.minion_by_id["i-1"].is_draining
-    assert system.beat(seq=4).status_code == 200
+    assert system.heartbeat(seq=4).status_code == 200
     assert system.log.table.minion_by_id["i-1"].is_draining
 
 
-def test_a_draining_that_is_acknowledged_bars_every_later_start(system):
+def test_acknowledged_draining_prevents_later_starts(system):
     system.call("POST", f"/q/{JOB}", JOB_BODY)
-    system.beat()
-    system.beat(seq=5, state="draining")
+    system.heartbeat()
+    system.heartbeat(seq=5, state="draining")
     assert system.log.start(task()) == [False]
 
 
-def test_a_minion_that_left_does_not_come_back_by_a_late_call(system):
-    system.beat()
+def test_late_heartbeat_does_not_restore_a_removed_minion(system):
+    system.heartbeat()
     assert system.control.simulate_delete("/-/instances/i-1").status_code == 200
-    assert system.beat(seq=9).status_code == 200
+    assert system.heartbeat(seq=9).status_code == 200
     assert "i-1" not in system.log.table.minion_by_id
 
 
 @pytest.mark.parametrize("body", [b"", b"{}", b'{"service":1}', b"[]"])
-def test_a_malformed_account_is_refused(system, body):
+def test_malformed_heartbeat_is_refused(system, body):
     answer = system.control.simulate_put("/-/instances/i-1", body=body)
     assert answer.status_code == 400
     assert not system.log.table.minion_by_id
 
 
-def test_a_wave_is_running_until_every_vm_had_its_upkeep(system):
+def test_wave_runs_until_every_vm_is_maintained(system):
     wave = {"wave": 3, "machines": ["m-1"], "duration_s": 20.5, "max_items": 1}
     for _ in range(2):
         answer = system.control.simulate_post("/-/wave-start", json=wave)
@@ -360,8 +366,8 @@
     assert system.control.simulate_post("/-/wave-start", json=bad).status_code == 400
 
 
-class Refusing:
-    """A group whose calls end with the codes given, then with an answer."""
+class RefusingGroup:
+    """Group client whose calls fail with the given codes, then succeed."""
 
     def __init__(self, *codes):
         self.codes = list(codes)
@@ -388,8 +394,8 @@
         (("storage_failed", "no_queues"), "deadline_passed"),
     ],
 )
-def test_a_call_that_may_have_been_taken_is_never_called_refused(codes, expected):
-    client = JobClient(Refusing(*codes))
+def test_call_that_may_have_been_executed_is_not_reported_as_refused(codes, expected):
+    client = JobClient(RefusingGroup(*codes))
     if expected is None:
         assert client.ask(None, 0.5, 0.3) is None
         return
