--- a/standin/faults.py
+++ b/standin/faults.py
@@ -123,8 +123,8 @@
             ),
             (
                 "exchange.py",
-                'return Failure("deadline_passed", Execution.UNKNOWN, "no answer in time")',
-                'return Failure("deadline_passed", Execution.NOT_RUN, "no answer in time")',
+                'Failure("deadline_passed", Execution.UNKNOWN, "no answer in time")',
+                'Failure("deadline_passed", Execution.NOT_RUN, "no answer in time")',
             ),
         ),
         "minions_are_lost",
--- a/tests/test_review_findings.py
+++ b/tests/test_review_findings.py
@@ -71,12 +71,12 @@
     If the program ended instead, its next start would not bootstrap again and would
     take a new identity, which is no member of the group.
     """
-    monkeypatch.setattr(founding, "BOOTSTRAP_RETRY_SECONDS", 0.01)
+    monkeypatch.setattr(bootstrap, "BOOTSTRAP_RETRY_SECONDS", 0.01)
     folder = tmp_path / "data"
     folder.mkdir()
     disk = PowerDisk(folder)
     disk.refuse(Refusal(after=after))
-    founding.bootstrap_when_possible((folder, "c1", MEMBERS, disk), Event())
+    bootstrap.bootstrap_when_possible((folder, "c1", MEMBERS, disk), Event())
     storage = Storage(folder, "c1", disk)
     recovered = storage.open()
     storage.close()
--- a/tests/test_start_waits.py
+++ b/tests/test_start_waits.py
@@ -111,7 +111,7 @@
 
 
 def test_the_first_start_retries_after_disk_errors(tmp_path, monkeypatch):
-    monkeypatch.setattr(founding, "BOOTSTRAP_RETRY_SECONDS", 0.01)
+    monkeypatch.setattr(bootstrap, "BOOTSTRAP_RETRY_SECONDS", 0.01)
     refusals = [errno.EIO, errno.ENOSPC]
 
     def refuse(*arguments):
@@ -119,8 +119,8 @@
             raise OSError(refusals.pop(), "refused")
         return bootstrap_folder(*arguments)
 
-    monkeypatch.setattr(founding, "bootstrap_folder", refuse)
-    founding.bootstrap_when_possible((tmp_path, "c1", MEMBERS), Event())
+    monkeypatch.setattr(bootstrap, "bootstrap_folder", refuse)
+    bootstrap.bootstrap_when_possible((tmp_path, "c1", MEMBERS), Event())
     storage = Storage(tmp_path, "c1")
     assert storage.open().members == MEMBERS
     storage.close()
