--- a/tests/test_job_plan.py
+++ b/tests/test_job_plan.py
@@ -1,4 +1,4 @@
-"""The planner and the pools: pure decisions over a table."""
+"""Planning of starts and of VM moves, and the measurement of pool loads."""
 
 import pytest
 
@@ -30,6 +30,7 @@
 
 
 def make_log(*minions, **config):
+    """Return a log with a configuration and the given minions."""
     log = Log()
     log.send(commands.PutQueues(make_config(**config)))
     for minion in minions:
@@ -38,6 +39,7 @@
 
 
 def plan(log, now_ms=0, **outlook):
+    """Return the starts and gangs of one planning pass; all minions are usable."""
     usable = outlook.pop("usable", set(log.table.minion_by_id))
     return plan_starts(log.table, Outlook(now_ms, usable, **outlook))
 
@@ -46,7 +48,7 @@
     return [(start.task.index, start.minion) for start in starts]
 
 
-def test_tasks_fill_the_room_and_no_more():
+def test_starts_fill_the_free_capacity_and_do_not_exceed_it():
     log = make_log(make_minion(1), make_minion(2))
     log.submit(Step(7, cpu_millicores=1500))
     starts, gangs = plan(log)
@@ -56,7 +58,7 @@
     assert plan(log) == ((), ())
 
 
-def test_minions_that_are_not_usable_or_leave_get_nothing():
+def test_unusable_and_moving_minions_get_no_runs():
     log = make_log(make_minion(1), make_minion(2), make_minion(3))
     log.send(commands.BeginMove("vm-2", "other"))
     log.submit(Step(9))
@@ -71,7 +73,7 @@
     assert len({start.minion for start in starts}) == 1
 
 
-def test_a_gang_is_planned_whole_or_not_at_all():
+def test_a_gang_is_planned_completely_or_not_at_all():
     log = make_log(make_minion(1))
     log.submit(Step(3, cpu_millicores=2000, gang=True))
     log.submit(Step(2, cpu_millicores=2000, gang=True), job=OTHER)
@@ -87,7 +89,7 @@
     assert [start.minion for start in starts] == ["i-2", "i-2", "i-1", "i-1"]
 
 
-def test_tasks_that_want_one_rack_stay_in_it():
+def test_same_rack_tasks_are_placed_in_one_rack():
     racks = [make_minion(n, rack=f"r{n}", labels=("a", f"r{n}")) for n in (1, 2)]
     log = make_log(*racks, make_minion(3, rack="r2", labels=("a", "r2")))
     log.submit(Step(4, cpu_millicores=2000, same_rack=True))
@@ -97,20 +99,20 @@
     assert all(start.task.job == JOB for start in plan(log)[0])
 
 
-def test_a_step_that_no_rack_could_hold_is_spread():
+def test_a_same_rack_step_too_large_for_any_rack_is_spread():
     racks = [make_minion(n, rack=f"r{n}", labels=("a", f"r{n}")) for n in (1, 2)]
     log = make_log(*racks)
     log.submit(Step(4, cpu_millicores=2000, same_rack=True))
     assert len(plan(log)[0]) == 4
 
 
-def test_labels_and_the_most_on_one_minion_are_kept():
+def test_required_label_and_max_per_minion_are_respected():
     log = make_log(make_minion(1), make_minion(2, labels=("b", "r1")))
     log.submit(Step(5, required_label="b", max_per_minion=2))
     assert [start.minion for start in plan(log)[0]] == ["i-2", "i-2"]
 
 
-def test_urgent_queues_and_tasks_that_serve_go_first():
+def test_urgent_queues_and_long_running_tasks_start_first():
     queues = tuple(
         Queue(name, HOST, f"/{name}/", "pool", priority=at, timeout_ms=1)
         for at, name in enumerate(("first", "second"))
@@ -124,7 +126,7 @@
     assert [start.task.job for start in starts] == [names[2], names[1], names[0]]
 
 
-def test_a_job_that_cannot_be_in_time_stands_back():
+def test_a_late_job_starts_after_jobs_that_can_be_in_time():
     log = make_log(make_minion(1))
     log.submit(Step(1, estimate_ms=9000), at_ms=0)
     log.submit(Step(1, estimate_ms=100), job=OTHER, at_ms=400)
@@ -141,7 +143,7 @@
     assert [start.minion for start in starts] == ["i-2"]
 
 
-def test_chains_follow_the_longest_way():
+def test_the_critical_path_is_the_longest_chain_of_steps():
     steps = (
         Step(1, estimate_ms=100),
         Step(1, estimate_ms=500),
@@ -154,7 +156,7 @@
     assert chain_from_ms(steps, 3, by_estimate) == 70
 
 
-def test_loads_tell_what_runs_lasts_and_waits():
+def test_pool_loads_count_running_long_running_and_waiting_tasks():
     log = make_log(make_minion(1), make_minion(2, is_draining=True))
     log.submit(Step(3, cpu_millicores=1000, memory_mb=100), Step(1, after=(0,)))
     log.submit(Step(1, cpu_millicores=500, lasts=True), job=OTHER)
@@ -175,14 +177,14 @@
     assert measure_pools(log.table, 0, Durations())["pool"].running == 500
 
 
-def test_tasks_that_fit_no_minion_ask_for_no_more_of_them():
+def test_tasks_too_large_for_any_minion_add_no_demand():
     log = make_log(make_minion(1))
     log.submit(Step(3, cpu_millicores=4001))
     load = measure_pools(log.table, 0, Durations())["pool"]
     assert (load.waiting, load.waiting_tasks) == (0, 0)
 
 
-def test_what_waits_for_a_late_job_is_told_apart():
+def test_the_demand_of_late_jobs_is_counted_separately():
     log = make_log(make_minion(1))
     log.submit(Step(2, cpu_millicores=1000, memory_mb=100, estimate_ms=500))
     job = next(iter(log.table.job_by_id.values()))
@@ -195,7 +197,7 @@
     assert (late.waiting_mb, late.waiting_late_mb) == (200, 200)
 
 
-def test_tasks_that_last_are_never_late():
+def test_long_running_tasks_are_never_late():
     log = make_log(make_minion(1))
     log.submit(Step(1, cpu_millicores=1000, estimate_ms=500, lasts=True))
     assert not measure_pools(log.table, 10**9, Durations())["pool"].waiting_late
@@ -205,6 +207,7 @@
 
 
 def idle(*seconds, kind="a", name="vm"):
+    """Return one idle VM for each idle time in `seconds`."""
     return [IdleVm(f"{name}-{at}", kind, one) for at, one in enumerate(seconds)]
 
 
@@ -219,29 +222,31 @@
         ({"waiting_mb": 800, "waiting_late_mb": 400}, 5),
     ],
 )
-def test_a_pool_wants_room_for_what_runs_and_waits(changes, wanted):
+def test_a_pool_wants_capacity_for_running_and_waiting_tasks(changes, wanted):
     load = PoolLoad(minions=2, room=8000, room_mb=200, **changes)
     assert wanted_minions(load, TERMS) == wanted
 
 
-def test_a_pool_wants_room_for_what_arrives_beside_what_lasts():
+def test_a_pool_wants_capacity_for_arrivals_beside_long_running_tasks():
     load = PoolLoad(minions=2, room=8000, running=1000, lasting=1000)
     assert wanted_minions(load, TERMS, arriving=11_000) == 3
     assert wanted_minions(load, TERMS, arriving=11_001) == 4
 
 
-def test_arrivals_tell_the_cores_that_keep_up_with_them():
+def test_the_arrival_rate_gives_the_cores_that_keep_up_with_it():
     rate = ArrivalRate()
     assert rate.millicores(1.0) == 0
     rate.note(1000, 1.0)
-    assert rate.millicores(1.0) == 1000 / WINDOW_SECONDS * 0.5, "half an error off"
+    assert rate.millicores(1.0) == 1000 / WINDOW_SECONDS * 0.5, (
+        "half a standard error less"
+    )
     for _ in range(15):
         rate.note(1000, 1.1)
     assert rate.millicores(1.2) == 16_000 / WINDOW_SECONDS * 0.875
     assert rate.millicores(1.2 + WINDOW_SECONDS) == 0
 
 
-def test_the_work_of_a_job_counts_its_tasks_that_end():
+def test_the_work_of_a_job_excludes_long_running_tasks():
     steps = (
         Step(6, cpu_millicores=500, estimate_ms=1000),
         Step(2, cpu_millicores=250, estimate_ms=2000, after=(0,)),
@@ -250,7 +255,7 @@
     assert work_core_ms(JobSpec("", steps), by_estimate) == 4000
 
 
-def test_a_busy_pool_takes_spares_first_then_what_others_can_lend():
+def test_a_busy_pool_takes_spare_vms_before_idle_vms_of_other_pools():
     busy = PoolView("busy", wanted=4, present=1)
     calm = PoolView("calm", wanted=1, present=3, idle=idle(0.2, 2, 5, name="calm"))
     spare = PoolView("spare", is_spare=True, idle=idle(0, name="spare"))
@@ -262,7 +267,7 @@
     ]
 
 
-def test_a_pool_keeps_its_floor_and_gives_long_idle_vms_to_the_spares():
+def test_a_pool_keeps_its_floor_and_gives_long_idle_vms_to_the_spare_pool():
     pool = PoolView("pool", wanted=1, present=3, idle=idle(9, 9, 2))
     spare = PoolView("spare", is_spare=True)
     assert list(plan_moves([pool, spare], TERMS)) == [
@@ -271,20 +276,20 @@
     ]
 
 
-def test_nothing_is_given_back_before_work_has_come():
+def test_no_vm_is_given_back_before_a_batch_job_was_accepted():
     pool = PoolView("pool", wanted=1, present=3, idle=idle(9, 9))
     spare = PoolView("spare", is_spare=True)
     assert not list(plan_moves([pool, spare], TERMS, may_give_back=False))
 
 
-def test_lasting_tasks_alone_are_not_work():
+def test_long_running_tasks_alone_do_not_count_as_batch_jobs():
     log = make_log(make_minion(1))
     log.submit(Step(1, lasts=True))
     assert not log.table.has_had_work
     log.submit(Step(1), job=OTHER)
     assert log.table.has_had_work
-    again = type(log.table).from_content(log.table.to_content())
-    assert again.has_had_work
+    restored = type(log.table).from_content(log.table.to_content())
+    assert restored.has_had_work
 
 
 @pytest.mark.parametrize("kinds, impossible", [({"b"}, ()), ((), {("a", "busy")})])
@@ -298,5 +303,7 @@
     "left, waiting, down, seconds",
     [(20, 4, 2, 6.8), (20, 4, 1, 1.8), (5, 4, 1, 0.0), (20, 0, 1, 20.0)],
 )
-def test_vms_wait_for_their_runs_while_the_wave_has_time(left, waiting, down, seconds):
+def test_the_drain_grace_period_depends_on_the_time_left_for_the_wave(
+    left, waiting, down, seconds
+):
     assert patience_seconds(left, waiting, down, 2.0) == pytest.approx(seconds)
--- a/tests/test_job_rules.py
+++ b/tests/test_job_rules.py
@@ -1,4 +1,4 @@
-"""The rules for jobs, each by the command that it must refuse or take."""
+"""Rules of job commands: what each command changes, and when it is refused."""
 
 import pytest
 
@@ -47,7 +47,7 @@
 
 
 class Log:
-    """Applies commands as the log would."""
+    """Applies commands to a state as the replicated log does."""
 
     def __init__(self):
         self.state = State()
@@ -63,8 +63,8 @@
         return apply(self.state, Envelope(role, "", "test", command), self.index).code
 
     def submit(self, *steps, job=JOB, path="/q/", at_ms=0, **spec):
-        made = JobSpec("payload", steps, **spec)
-        return self.send(commands.AcceptJob(job, HOST, path + job, made, at_ms))
+        job_spec = JobSpec("payload", steps, **spec)
+        return self.send(commands.AcceptJob(job, HOST, path + job, job_spec, at_ms))
 
     def start(self, *keys, minion="i-1", gang=False):
         starts = tuple(Start(key, minion) for key in keys)
@@ -97,7 +97,7 @@
     return made
 
 
-def test_only_a_newer_configuration_replaces_the_held_one(log):
+def test_only_a_newer_configuration_replaces_the_current_one(log):
     other = make_config(1, queues=())
     assert log.send(commands.PutQueues(other)) == ""
     assert log.table.config.document == b"v1"
@@ -116,12 +116,12 @@
     ],
     ids=["unknown pool", "no time-out", "same place", "pool twice"],
 )
-def test_an_incoherent_configuration_is_refused(log, changes):
+def test_an_inconsistent_configuration_is_refused(log, changes):
     assert log.send(commands.PutQueues(make_config(9, **changes))) == "bad_object"
     assert log.table.config.version == 1
 
 
-def test_the_longest_prefix_names_the_queue():
+def test_the_longest_matching_prefix_selects_the_queue():
     inner = Queue("inner", HOST, "/q/deep/", "pool", timeout_ms=1)
     outer = Queue("outer", HOST, "/q/", "pool", timeout_ms=1)
     index = QueueIndex(make_config(queues=(outer, inner)).queues)
@@ -134,7 +134,7 @@
     assert index.find("other.example", "/q/x") is None
 
 
-def test_a_job_sent_again_stays_one_job(log):
+def test_a_job_submitted_twice_is_accepted_once(log):
     assert log.submit(Step(1)) == ""
     log.start(task())
     assert log.submit(Step(5)) == ""
@@ -142,7 +142,7 @@
     assert log.table.job_by_id[JOB].spec.steps[0].count == 1
 
 
-def test_a_job_for_no_queue_is_refused(log):
+def test_a_job_for_an_unknown_queue_is_refused(log):
     assert log.submit(Step(1), path="/other/") == "unknown_queue"
     assert Log().submit(Step(1)) == "no_queues"
 
@@ -152,7 +152,7 @@
     [(), (Step(0),), (Step(-1),), (Step(1, after=(0,)),), (Step(1, after=(-1,)),),
      (Step(1), Step(1, after=(1,))), (Step(1, cpu_millicores=-1),), (Step(10**9),)],
 )  # fmt: skip
-def test_a_job_that_makes_no_sense_is_refused(log, steps):
+def test_a_job_with_invalid_steps_is_refused(log, steps):
     assert log.submit(*steps) == "bad_job"
     assert JOB not in log.table.job_by_id
 
@@ -171,7 +171,7 @@
     assert log.start(task(), task(index=1)) == [False, True]
 
 
-def test_run_numbers_rise(log):
+def test_run_numbers_increase(log):
     log.submit(Step(1))
     for number in (1, 2):
         log.start(task())
@@ -189,7 +189,7 @@
     assert log.table.run_by_task[task()].number == 2
 
 
-def test_a_step_waits_for_all_tasks_of_the_ones_before(log):
+def test_a_step_waits_for_all_tasks_of_the_steps_it_depends_on(log):
     log.submit(Step(2), Step(1, after=(0,)))
     log.start(task(), task(index=1))
     log.end(task())
@@ -200,7 +200,7 @@
     assert log.status is JobStatus.SUCCEEDED
 
 
-def test_a_job_fails_after_its_attempts_and_starts_nothing_more(log):
+def test_a_job_that_used_up_its_attempts_fails_and_starts_no_more_tasks(log):
     log.submit(Step(2))
     for _ in range(2):
         assert log.start(task()) == [True]
@@ -213,7 +213,7 @@
     "result",
     [one for one in RunResult if one not in (RunResult.DONE, RunResult.FAILED)],
 )
-def test_only_failed_ends_count_as_attempts(log, result):
+def test_only_failed_runs_count_as_attempts(log, result):
     log.submit(Step(1))
     for _ in range(5):
         assert log.start(task()) == [True]
@@ -221,7 +221,7 @@
     assert log.status is JobStatus.RUNNING
 
 
-def test_a_lasting_task_is_started_again_however_it_ends(log):
+def test_a_long_running_task_is_restarted_however_it_ends(log):
     log.submit(Step(1, lasts=True))
     for result in (
         RunResult.FAILED,
@@ -234,7 +234,7 @@
     assert log.status is JobStatus.RUNNING
 
 
-def test_a_cancelled_job_starts_nothing_and_its_room_stays_taken(log):
+def test_a_cancelled_job_starts_no_tasks_but_its_runs_keep_their_resources(log):
     log.submit(Step(2, cpu_millicores=3000))
     log.start(task())
     assert log.send(commands.CancelJob(JOB, 0)) == ""
@@ -246,7 +246,7 @@
     assert log.send(commands.CancelJob("00000000000000ff", 0)) == "unknown_job"
 
 
-def test_a_gang_starts_whole_or_not_at_all(log):
+def test_a_gang_starts_completely_or_not_at_all(log):
     log.submit(Step(3, cpu_millicores=2000, gang=True))
     members = [task(index=index) for index in range(3)]
     assert log.start(*members, gang=True) == [False] * 3
@@ -257,7 +257,7 @@
     assert log.status is JobStatus.SUCCEEDED
 
 
-def test_a_failed_gang_counts_once_and_shares_its_checkpoint(log):
+def test_a_failed_gang_counts_as_one_attempt_and_shares_its_checkpoint(log):
     log.submit(Step(2, gang=True))
     members = [task(index=index) for index in range(2)]
     log.start(*members, gang=True)
@@ -267,7 +267,7 @@
     assert [log.table.task(key).checkpoint for key in members] == ["half", "half"]
 
 
-def test_a_start_needs_room_label_pool_and_a_staying_minion(log):
+def test_a_start_needs_capacity_label_pool_and_a_minion_that_is_not_draining(log):
     log.submit(Step(4, cpu_millicores=2500, required_label="b", max_per_minion=1))
     assert log.start(task()) == [False]
     for number, changes in (
@@ -284,12 +284,12 @@
     assert log.start(task(index=1), minion="i-3") == [False]
 
 
-def test_a_filler_needs_memory_but_no_processors(log):
+def test_a_filler_needs_free_memory_but_no_free_cpu(log):
     log.submit(Step(2, cpu_millicores=9000, memory_mb=3000, fills_spare_cpu=True))
     assert log.start(task(), task(index=1)) == [True, False]
 
 
-def test_another_life_on_the_same_vm_ends_the_runs_of_the_one_before(log):
+def test_a_new_incarnation_on_a_vm_ends_the_runs_of_the_previous_one(log):
     log.submit(Step(1))
     log.start(task())
     log.send(commands.RegisterMinion(make_minion(9, vm="vm-1"), 0))
@@ -300,7 +300,7 @@
     assert log.start(task(), minion="i-9") == [True]
 
 
-def test_rounds_of_a_repeated_job_overlap_and_end_it(log):
+def test_rounds_of_a_repeated_job_overlap_and_complete_it(log):
     log.submit(Step(1), times=2, interval_ms=100)
     assert log.start(task()) == [False]
     for _ in range(3):
@@ -323,7 +323,7 @@
     assert log.table.pending_by_place[place] == 0
 
 
-def test_ended_jobs_are_kept_for_a_time_and_bounded(log, monkeypatch):
+def test_ended_jobs_are_kept_for_a_limited_time_and_in_limited_number(log, monkeypatch):
     monkeypatch.setattr(table_module, "MAX_ENDED_JOBS", 3)
     names = [f"{number:016x}" for number in range(6)]
     for name in names:
@@ -336,7 +336,7 @@
     assert not any(name in log.table.job_by_id for name in names)
 
 
-def test_a_wave_never_has_more_vms_down_than_it_may(log):
+def test_a_wave_never_exceeds_max_down(log):
     log.send(commands.PutWave(1, ("vm-1", "vm-2", "vm-3"), 1, 0))
     begin = [commands.BeginUpkeep(1, f"vm-{number}", 0) for number in (1, 2)]
     assert log.send(begin[0]) == ""
@@ -349,7 +349,7 @@
     assert not log.table.wave_by_number[1].is_done
 
 
-def test_a_snapshot_holds_everything(log):
+def test_a_snapshot_restores_the_complete_state(log):
     log.submit(Step(2), Step(1, after=(0,)))
     log.submit(Step(1), job="00000000000000bb", times=3, interval_ms=5)
     log.start(task())
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -1,4 +1,4 @@
-"""Upkeep waves by a session: emptied first, never more at once than allowed."""
+"""Maintenance waves: VMs are drained first, and `max_down` is never exceeded."""
 
 import gevent
 import pytest
@@ -24,7 +24,7 @@
 
 
 class Platform:
-    """Takes VMs down; they come back with another life when told so."""
+    """Stub of the platform: takes VMs down, which return as new incarnations."""
 
     def __init__(self, rig, *replies):
         self.rig = rig
@@ -81,6 +81,7 @@
 
 
 def begin_wave(rig, platform, max_down=2, seconds=20):
+    """Start a wave over all four VMs that is due in `seconds`; return its record."""
     session = rig.dispatcher.session
     session.upkeep = UpkeepDesk(session, platform, UPKEEP_SECONDS)
     session.spawn(session.upkeep.run)
@@ -90,7 +91,7 @@
     return rig.log.table.wave_by_number[1]
 
 
-def test_a_wave_takes_every_vm_once_and_no_more_at_once_than_allowed(rig):
+def test_a_wave_takes_each_vm_once_and_never_exceeds_max_down(rig):
     platform = Platform(rig)
     wave = begin_wave(rig, platform)
     assert wait_until(lambda: wave.is_done, 20)
@@ -98,7 +99,7 @@
     assert platform.most_down == 2
 
 
-def test_vms_are_empty_when_they_are_taken(rig):
+def test_vms_have_no_runs_when_their_maintenance_begins(rig):
     platform = Platform(rig)
     rig.submit(Step(40, cpu_millicores=1000))
     wave = begin_wave(rig, platform)
@@ -106,7 +107,7 @@
     assert set(platform.runs_at_call) == {0}
 
 
-def test_lasting_tasks_leave_one_at_a_time(rig):
+def test_long_running_tasks_leave_within_their_disruption_budget(rig):
     for minion in rig.minions:
         minion.task_seconds = None
     rig.submit(Step(4, lasts=True, max_away=1, max_per_minion=2))
@@ -116,7 +117,7 @@
     away = []
     watch = rig.dispatcher.session.watch
     tasks = [task(index=index) for index in range(4)]
-    # A task that is not at work yet may leave as the one that is away.
+    # A task that is not at work yet counts as the unavailable one and may be stopped.
     assert wait_until(lambda: all(map(watch.is_at_work, tasks)), SECONDS)
     evacuate = watch.evacuate
 
@@ -134,7 +135,7 @@
 @pytest.mark.parametrize(
     "reply", [FleetReply.UNSURE, FleetReply.TOO_MANY, FleetReply.BUSY]
 )
-def test_an_order_without_a_final_answer_is_given_again(rig, reply):
+def test_an_order_without_a_final_answer_is_retried(rig, reply):
     platform = Platform(rig, reply, reply)
     wave = begin_wave(rig, platform, max_down=1)
     assert wait_until(lambda: len(platform.calls) >= 3, SECONDS)
@@ -142,14 +143,14 @@
     assert wait_until(lambda: wave.is_done, 20)
 
 
-def test_a_vm_that_is_not_of_the_wave_does_not_hold_it_up(rig):
+def test_a_vm_that_the_platform_refuses_does_not_block_the_wave(rig):
     platform = Platform(rig, FleetReply.NOT_IN_WAVE, FleetReply.UNKNOWN_VM)
     wave = begin_wave(rig, platform)
     assert wait_until(lambda: wave.is_done, 20)
     assert len(platform.calls) == 4
 
 
-def test_a_vm_that_was_taken_away_does_not_hold_its_wave_up(rig, monkeypatch):
+def test_a_vm_that_is_no_longer_listed_does_not_block_its_wave(rig, monkeypatch):
     monkeypatch.setattr(upkeep_module, "LIST_SECONDS", 0.1)
     monkeypatch.setattr(upkeep_module, "GONE_SECONDS", 0.3)
     platform = Platform(rig)
@@ -182,31 +183,31 @@
 
 def test_a_vm_that_is_missing_from_one_list_only_keeps_its_wave_open(rig):
     platform = Platform(rig)
-    desk = UpkeepDesk(rig.dispatcher.session, platform, UPKEEP_SECONDS)
+    controller = UpkeepDesk(rig.dispatcher.session, platform, UPKEEP_SECONDS)
     platform.listed = ["vm-1"]
-    assert not desk.is_gone("vm-0", 10.0)
+    assert not controller.is_gone("vm-0", 10.0)
     platform.listed = ["vm-0", "vm-1"]
-    assert not desk.is_gone("vm-0", 12.5)
+    assert not controller.is_gone("vm-0", 12.5)
     platform.listed = ["vm-1"]
-    assert not desk.is_gone("vm-0", 15.0)
-    assert not desk.is_gone("vm-0", 16.5)
-    assert desk.is_gone("vm-0", 17.6)
+    assert not controller.is_gone("vm-0", 15.0)
+    assert not controller.is_gone("vm-0", 16.5)
+    assert controller.is_gone("vm-0", 17.6)
 
 
-def test_a_vm_whose_entry_cannot_be_read_is_not_gone(rig):
+def test_no_vm_is_gone_while_the_list_has_unreadable_rows(rig):
     platform = Platform(rig)
-    desk = UpkeepDesk(rig.dispatcher.session, platform, UPKEEP_SECONDS)
+    controller = UpkeepDesk(rig.dispatcher.session, platform, UPKEEP_SECONDS)
     platform.listed = ["vm-1"]
     platform.unread = 1
     for now in (10.0, 11.5, 13.0, 14.5):
-        assert not desk.is_gone("vm-0", now)
+        assert not controller.is_gone("vm-0", now)
     platform.unread = 0
-    assert not desk.is_gone("vm-0", 16.0)
-    assert not desk.is_gone("vm-0", 17.5)
-    assert desk.is_gone("vm-0", 19.0)
+    assert not controller.is_gone("vm-0", 16.0)
+    assert not controller.is_gone("vm-0", 17.5)
+    assert controller.is_gone("vm-0", 19.0)
 
 
-def test_another_leader_carries_on_an_upkeep_that_was_begun(rig):
+def test_a_new_leader_resumes_maintenance_that_was_begun(rig):
     rig.log.send(commands.PutWave(1, ("vm-0",), 1, 0))
     rig.log.send(commands.BeginUpkeep(1, "vm-0", 0))
     platform = Platform(rig)
@@ -222,11 +223,13 @@
     ("seconds_left", "waiting", "at_once"),
     [(30, 13, 3), (30, 1, 1), (5, 8, 8), (0, 3, 3), (-4, 2, 2), (1000, 40, 1)],
 )
-def test_a_wave_needs_so_many_vms_down_at_once(seconds_left, waiting, at_once):
+def test_the_required_concurrency_meets_the_deadline_of_a_wave(
+    seconds_left, waiting, at_once
+):
     assert needed_at_once(seconds_left, waiting, upkeep_seconds=2.0) == at_once
 
 
-def test_while_a_pool_lacks_vms_a_wave_takes_no_more_than_it_needs(rig):
+def test_a_wave_takes_only_the_required_vms_during_a_vm_shortage(rig):
     rig.dispatcher.session.mover.is_lacking = True
     platform = Platform(rig)
     wave = begin_wave(rig, platform, max_down=4, seconds=30)
@@ -234,7 +237,7 @@
     assert platform.most_down == 1
 
 
-def test_a_wave_that_has_little_time_takes_all_it_may(rig):
+def test_a_wave_close_to_its_deadline_uses_its_full_max_down(rig):
     rig.dispatcher.session.mover.is_lacking = True
     platform = Platform(rig)
     wave = begin_wave(rig, platform, max_down=4, seconds=1)
@@ -242,8 +245,8 @@
     assert platform.most_down == 4
 
 
-class FailingDesk(UpkeepDesk):
-    """A desk that fails at one wave, whenever it gets to it."""
+class FailingController(UpkeepDesk):
+    """Controller whose every step of the wave `failing` raises."""
 
     failing = 1
     failures = 0
@@ -255,28 +258,31 @@
         super().step(wave)
 
 
-# Guards against an error of one wave that ends all dispatching, and all others.
-def test_a_wave_that_fails_stops_neither_another_one_nor_the_jobs(rig):
+# Guards against an error in one wave that ends dispatching and all other waves.
+def test_a_wave_that_fails_stops_neither_other_waves_nor_jobs(rig):
     session = rig.dispatcher.session
-    desk = session.upkeep = FailingDesk(session, Platform(rig), UPKEEP_SECONDS)
-    session.spawn(desk.run)
+    controller = session.upkeep = FailingController(
+        session, Platform(rig), UPKEEP_SECONDS
+    )
+    session.spawn(controller.run)
     for number, vms in enumerate((("vm-0", "vm-1"), ("vm-2", "vm-3")), start=1):
         due_ms = wall_ms() + 20_000
         rig.log.send(commands.PutWave(number, vms, 1, due_ms))
     rig.submit(Step(8))
     assert wait_until(lambda: rig.log.table.wave_by_number[2].is_done, 20)
     rig.wait_status(JobStatus.SUCCEEDED)
-    assert desk.failures > 1
+    assert controller.failures > 1
     assert rig.dispatcher.session is session
 
 
-# Guards against a loop over shared state that a switch within it tears.
-def test_a_wave_goes_on_where_every_line_gives_way(rig, monkeypatch):
-    def give_way(event, **pairs):
+# Guards against a loop over shared state that fails when another greenlet changes
+# the state meanwhile: here every log line switches greenlets.
+def test_a_wave_completes_when_each_log_line_switches_greenlets(rig, monkeypatch):
+    def switch_greenlets(event, **pairs):
         gevent.sleep(0.001)
 
     for module in (upkeep_module, watch_module, agent_module, session_module):
-        monkeypatch.setattr(module, "log_event", give_way)
+        monkeypatch.setattr(module, "log_event", switch_greenlets)
     for minion in rig.minions:
         minion.task_seconds = None
     session = rig.dispatcher.session
