--- a/tests/test_duration.py
+++ b/tests/test_duration.py
@@ -1,4 +1,4 @@
-"""What is learnt of run times: estimates that are right, wrong, or say nothing."""
+"""Learned run times: estimates that are correct, wrong or uninformative."""
 
 import random
 
@@ -15,69 +15,69 @@
 from tests.test_dispatch import SECONDS, Rig
 from tests.test_job_rules import HOST, JOB, Log, make_config
 
-PLACE = ("queue.example", "/q/")
+ROUTE = ("queue.example", "/q/")
 
 
 def learn(durations, pairs, count=4):
-    """Note steps of `count` tasks by pairs of estimate and observed time."""
+    """Record steps of `count` tasks from pairs of estimated and observed time."""
     for estimate_ms, took_ms in pairs:
         step = Step(count, estimate_ms=estimate_ms)
         for _ in range(count):
-            durations.note(PLACE, step, took_ms)
+            durations.note(ROUTE, step, took_ms)
 
 
-def test_before_enough_steps_were_seen_the_estimate_holds():
+def test_estimates_are_not_corrected_before_enough_steps_were_observed():
     durations = Durations()
     learn(durations, [(100, 900)] * int(STEPS_TO_LEARN - 1))
-    assert durations.expected_ms(PLACE, Step(1, estimate_ms=100)) == 100
+    assert durations.expected_ms(ROUTE, Step(1, estimate_ms=100)) == 100
 
 
 def test_estimates_that_are_too_small_by_a_factor_are_corrected():
     durations = Durations()
     learn(durations, [(100 * n, 300 * n) for n in range(1, 12)])
-    expected = durations.expected_ms(PLACE, Step(1, estimate_ms=800))
+    expected = durations.expected_ms(ROUTE, Step(1, estimate_ms=800))
     assert expected == pytest.approx(2400, rel=0.01)
 
 
-def test_estimates_that_say_nothing_give_way_to_the_mean():
+def test_uninformative_estimates_are_replaced_by_the_mean():
     durations = Durations()
     source = random.Random(3)
     pairs = [(source.choice([50, 200, 3000]), 1000) for _ in range(60)]
     learn(durations, pairs)
     for estimate_ms in (50, 3000):
         step = Step(1, estimate_ms=estimate_ms)
-        assert durations.expected_ms(PLACE, step) == pytest.approx(1000, rel=0.01)
+        assert durations.expected_ms(ROUTE, step) == pytest.approx(1000, rel=0.01)
 
 
-def test_a_wide_step_counts_once():
+def test_a_step_with_many_tasks_counts_as_one_observation():
     durations = Durations()
     learn(durations, [(100, 900)], count=40)
-    assert durations.expected_ms(PLACE, Step(1, estimate_ms=100)) == 100
+    assert durations.expected_ms(ROUTE, Step(1, estimate_ms=100)) == 100
 
 
-def test_a_change_of_the_workload_is_followed():
+def test_expected_run_times_follow_a_change_of_the_workload():
     durations = Durations()
     learn(durations, [(100, 100)] * 300)
     learn(durations, [(100, 800)] * 300)
-    assert durations.expected_ms(PLACE, Step(1, estimate_ms=100)) > 600
+    assert durations.expected_ms(ROUTE, Step(1, estimate_ms=100)) > 600
 
 
-def test_queues_learn_for_themselves():
+def test_each_queue_learns_its_own_run_times():
     durations = Durations()
     learn(durations, [(100, 900)] * 20)
     other = ("queue.example", "/other/")
     assert durations.expected_ms(other, Step(1, estimate_ms=100)) == 100
 
 
-def test_tasks_that_last_and_missing_estimates_teach_nothing():
+def test_long_running_tasks_and_missing_estimates_are_not_observed():
     durations = Durations()
     for step in (Step(1, lasts=True, estimate_ms=100), Step(1, estimate_ms=0)):
         for _ in range(20):
-            durations.note(PLACE, step, 500)
+            durations.note(ROUTE, step, 500)
     assert not durations.fit_by_place
 
 
-def test_the_due_time_follows_what_was_learnt():
+def test_due_times_follow_the_learned_run_times():
     log = Log()
     log.send(commands.PutQueues(make_config()))
     log.submit(Step(1, estimate_ms=100))
@@ -108,7 +108,7 @@
         rig.close()
 
 
-def test_a_job_is_late_only_beyond_the_error_of_what_is_expected():
+def test_a_job_is_late_only_beyond_the_error_of_its_expected_run_time():
     queue = Queue("q", HOST, "/q/", "pool", stretch=2.0, objective_ms=600, timeout_ms=1)
     log = Log()
     log.send(commands.PutQueues(make_config(queues=(queue,))))
@@ -116,9 +116,9 @@
     job = log.table.job_by_id[JOB]
     certain = Durations()
     learn(certain, [(1000, 1000)] * 20)
-    doubtful = Durations()
+    uncertain = Durations()
     by_estimate_ms = 600 + 1000
     assert not is_late(queue, job, 0, 0, by_estimate_ms - 1, certain)
     assert is_late(queue, job, 0, 0, by_estimate_ms + 20, certain)
-    assert not is_late(queue, job, 0, 0, by_estimate_ms + 20, doubtful)
-    assert is_late(queue, job, 0, 0, 600 + 2000, doubtful)
+    assert not is_late(queue, job, 0, 0, by_estimate_ms + 20, uncertain)
+    assert is_late(queue, job, 0, 0, 600 + 2000, uncertain)
--- a/tests/test_many_queues.py
+++ b/tests/test_many_queues.py
@@ -1,13 +1,10 @@
-"""What a job and a decision cost with eight queues and with 1,888.
-
-Seen: after a configuration with 1,880 queues more, a crest of jobs took the
-whole processor of the leader; nothing was served long after a restart.
-How it came about, as far as shown: finding the queue of a path looked at all
-queues, for each job on every replica and for each question about a queue, and
-so did each decision on moves. Cause of this part: no index by host and path.
-That it made the outage is not shown: it is one of several loads at a crest.
-Proof: the queues that are looked at are counted; they are the same few for
-both sizes.
+"""The cost of a job and of a decision on moves with 8 and with 1,888 queues.
+
+Guards against searches through all queues for each job on every replica, for each
+request about a queue and for each decision on moves. Without an index by host and
+path, they added to the load of a leader whose whole processor was in use during a
+load peak with 1,880 additional queues. The tests record the queues that are read:
+they must be the same few for both sizes.
 """
 
 from types import SimpleNamespace
@@ -27,56 +24,56 @@
 FEW, MANY = 8, 1888
 
 
-class WatchedQueue:
-    """A queue that notes when it is looked at."""
+class RecordingQueue:
+    """Queue that records its name when one of its attributes is read."""
 
-    def __init__(self, queue, looked_at):
+    def __init__(self, queue, names_read):
         self.queue = queue
-        self.looked_at = looked_at
+        self.names_read = names_read
 
     def __getattr__(self, name):
-        self.looked_at.add(self.queue.name)
+        self.names_read.add(self.queue.name)
         return getattr(self.queue, name)
 
 
 def put_queues(table, count):
-    """Give `table` so many queues; return the set of those looked at from now on."""
-    looked_at = set()
+    """Put `count` queues into `table`; return the set of names read from now on."""
+    names_read = set()
     queues = tuple(
-        WatchedQueue(
-            Queue(f"q{number}", HOST, f"/q{number}/", "pool", timeout_ms=1), looked_at
+        RecordingQueue(
+            Queue(f"q{number}", HOST, f"/q{number}/", "pool", timeout_ms=1), names_read
         )
         for number in range(count)
     )
     table.put_config(QueueConfig(9, queues, (QueuePool("pool"),)))
-    looked_at.clear()
-    return looked_at
+    names_read.clear()
+    return names_read
 
 
 def accept_job(log):
-    """Accept a job of the fourth queue."""
+    """Submit a job to the fourth queue."""
     assert not log.submit(Step(1), path="/q3/")
     assert log.table.job_by_id[JOB].queue.name == "q3"
 
 
 def ask_pending(log):
-    """Ask how many jobs of the fourth queue wait."""
+    """Request the number of pending jobs of the fourth queue."""
     replica = SimpleNamespace(state=log.state, confirm=lambda: None)
     service = JobService(replica, MinionRoster(), None, "test")
     assert service.answer(AskPending(HOST, "/q3/")) == 0
 
 
 def decide_on_moves(log):
-    """Look at the pools as a decision on moves does."""
+    """Compute the views of the pools as a decision on moves does."""
     session = SimpleNamespace(
         table=log.table,
         measure_pools=dict,
         agent_by_minion={},
         upkeep=SimpleNamespace(leaving_since_by_vm={}),
     )
-    desk = MoveDesk(session, None, PoolTerms(), 1.0)
-    desk.demand.wanted = lambda pool, load, now: 7
-    views = list(desk.views(log.table.config, lease_seconds()))
+    controller = MoveDesk(session, None, PoolTerms(), 1.0)
+    controller.demand.wanted = lambda pool, load, now: 7
+    views = list(controller.views(log.table.config, lease_seconds()))
     assert [(view.name, view.wanted) for view in views] == [("pool", 7)]
 
 
@@ -85,8 +82,8 @@
     ("work", "queues"),
     [(accept_job, {"q3"}), (ask_pending, {"q3"}), (decide_on_moves, set())],
 )
-def test_no_work_looks_at_all_queues(work, queues, count):
+def test_no_operation_reads_all_queues(work, queues, count):
     log = Log()
-    looked_at = put_queues(log.table, count)
+    names_read = put_queues(log.table, count)
     work(log)
-    assert looked_at == queues
+    assert names_read == queues
--- a/tests/test_mover.py
+++ b/tests/test_mover.py
@@ -253,7 +253,9 @@
     controller = MoveDesk(session, FleetApi({}), TERMS, MOVE_SECONDS)
     now = lease_seconds()
     nothing = PoolLoad()
-    assert controller.demand.wanted("pool", nothing, now) == 0, "none has come yet"
+    assert controller.demand.wanted("pool", nothing, now) == 0, (
+        "no batch job was accepted yet"
+    )
     rig.log.table.has_had_work = True
     assert not controller.demand.is_known(now)
     assert controller.demand.wanted("pool", nothing, now + 1) == TERMS.floor
@@ -261,7 +263,7 @@
 
 # Guards against two runs of a task at once: an earlier leader had carried out the
 # move already, and the answer to the repeated order ended the incarnation that
-# the move had started while its runs went on.
+# the move had started, while its runs went on.
 def test_a_completed_move_ordered_again_ends_no_life_that_came_by_it(rig):
     api = FleetApi({"vm-0": "pool", "vm-1": "pool"})
     session = rig.dispatcher.session
--- a/tests/test_names_and_times.py
+++ b/tests/test_names_and_times.py
@@ -1,4 +1,4 @@
-"""Decisions do not depend on what things are called or on when it happens."""
+"""Decisions depend neither on names nor on absolute times."""
 
 import random
 
@@ -36,10 +36,10 @@
 
 
 def decide(seed, rename, shift_ms):
-    """Return all decisions about a random fleet, with names and times changed.
+    """Return all decisions about a random fleet with changed names and times.
 
     `rename`
-        Function from a name to another one; it keeps their order.
+        Function from a name to its replacement; it must keep the order of names.
     `shift_ms`
         Added to every time.
     """
@@ -106,7 +106,7 @@
 
 
 def rename_all(decisions, rename):
-    """Return the decisions with the names that `rename` gives."""
+    """Return `decisions` with all names replaced by `rename`."""
     starts, wanted, moves = decisions
     return (
         [(key, rename(minion)) for key, minion in starts],
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("seed", range(8))
-def test_other_names_and_other_times_leave_the_decisions_equal(seed):
+def test_decisions_are_the_same_under_other_names_and_times(seed):
     def other(name):
         return f"{name[0]}-other-{name[1:]}"
 
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -1,4 +1,4 @@
-"""Fillers beside tasks that serve, and permissions for steps."""
+"""The pace of fillers beside serving tasks, and permissions for steps."""
 
 import gevent
 import pytest
@@ -31,22 +31,24 @@
         (75, [10, 20], 100),
     ],
 )
-def test_fillers_stop_in_time_and_come_back_slowly(percent, tails, expected):
+def test_fillers_stop_before_the_target_latency_and_resume_gradually(
+    percent, tails, expected
+):
     neighbours = [Neighbour(tail, 100) for tail in tails]
     assert next_percent(percent, neighbours) == expected
 
 
 class Adviser:
-    """Permits some lives, and counts the calls."""
+    """Stub of the adviser: permits the incarnations `good` and records its calls."""
 
     def __init__(self, *good):
         self.good = good
         self.calls = []
-        self.is_silent = False
+        self.is_unresponsive = False
 
     def advise(self, step_key, lives, seconds):
         self.calls.append((step_key, lives))
-        if self.is_silent:
+        if self.is_unresponsive:
             return None
         return {life: f"ticket-{life}" for life in lives if life in self.good}
 
@@ -69,7 +71,7 @@
     session.spawn(session.permissions.run)
 
 
-def test_only_permitted_minions_run_a_step_and_they_see_the_ticket(advised_rig):
+def test_only_permitted_minions_run_a_step_and_they_get_the_ticket(advised_rig):
     good, other = advised_rig.minions
     advise(advised_rig, Adviser(good.life))
     advised_rig.submit(Step(3))
@@ -78,106 +80,108 @@
     assert {body["ticket"] for _, _, body in good.starts} == {f"ticket-{good.life}"}
 
 
-def test_without_permission_nothing_starts(advised_rig):
+def test_without_a_permission_no_task_starts(advised_rig):
     adviser = Adviser()
-    adviser.is_silent = True
+    adviser.is_unresponsive = True
     advise(advised_rig, adviser)
     advised_rig.submit(Step(1))
     assert wait_until(lambda: len(adviser.calls) > 1, SECONDS)
     gevent.sleep(0.2)
     assert not any(minion.starts for minion in advised_rig.minions)
-    adviser.is_silent = False
+    adviser.is_unresponsive = False
     adviser.good = [minion.life for minion in advised_rig.minions]
     advised_rig.wait_status(JobStatus.SUCCEEDED)
     assert adviser.calls[0][0] == (JOB, 0, 0)
 
 
-def rested(desk, monkeypatch, limit=50):
-    """Return whether a desk rests before it has looked for lives so often."""
-    looked = []
-    candidates = desk.candidates
+def yields_in_time(controller, monkeypatch, limit=50):
+    """Whether a controller yields before it has searched `limit` times for minions."""
+    searches = []
+    candidates = controller.candidates
 
     def counted(step_key):
-        looked.append(step_key)
-        if len(looked) > limit:
+        searches.append(step_key)
+        if len(searches) > limit:
             raise gevent.GreenletExit
         return candidates(step_key)
 
-    monkeypatch.setattr(desk, "candidates", counted)
-    greenlet = gevent.spawn(desk.run)
+    monkeypatch.setattr(controller, "candidates", counted)
+    greenlet = gevent.spawn(controller.run)
     gevent.sleep(0)
-    is_over = greenlet.dead
+    has_ended = greenlet.dead
     greenlet.kill()
-    return not is_over
+    return not has_ended
 
 
-def test_a_pool_without_minions_does_not_hold_the_leader(advised_rig, monkeypatch):
+def test_a_pool_without_minions_does_not_block_the_leader(advised_rig, monkeypatch):
     for minion in advised_rig.minions:
         advised_rig.log.send(commands.RemoveMinion(minion.life, 0))
     advised_rig.log.submit(Step(1))
-    desk = PermissionDesk(advised_rig.dispatcher.session, Adviser())
-    assert rested(desk, monkeypatch)
+    controller = PermissionDesk(advised_rig.dispatcher.session, Adviser())
+    assert yields_in_time(controller, monkeypatch)
 
 
-def test_a_minion_that_came_later_is_asked_about_beside_full_ones(advised_rig):
+def test_permission_is_requested_for_a_new_minion_beside_full_ones(advised_rig):
     first = advised_rig.minions[0]
     fresh = make_minion(7, cpu_millicores=16_000)
-    desk = PermissionDesk(advised_rig.dispatcher.session, Adviser(first.life, fresh.id))
+    controller = PermissionDesk(
+        advised_rig.dispatcher.session, Adviser(first.life, fresh.id)
+    )
     advised_rig.log.submit(Step(2, max_per_minion=1))
     key = (JOB, 0, 0)
-    desk.ask(key)
-    assert desk.permitted(key) == {first.life}
+    controller.ask(key)
+    assert controller.permitted(key) == {first.life}
     advised_rig.log.start(TaskKey(*key, 0), minion=first.life)
     advised_rig.log.send(commands.RegisterMinion(fresh, 0))
-    assert desk.needs_call(key), "the permitted one carries enough of the step"
-    desk.ask(key)
-    assert desk.permitted(key) == {first.life, fresh.id}
+    assert controller.needs_call(key), "the permitted minion has max_per_minion tasks"
+    controller.ask(key)
+    assert controller.permitted(key) == {first.life, fresh.id}
 
 
-def test_a_permission_for_a_life_that_is_gone_is_none(advised_rig):
+def test_a_permission_for_a_removed_incarnation_does_not_count(advised_rig):
     first, second = advised_rig.minions
     adviser = Adviser(first.life)
-    desk = PermissionDesk(advised_rig.dispatcher.session, adviser)
+    controller = PermissionDesk(advised_rig.dispatcher.session, adviser)
     advised_rig.log.submit(Step(1))
     key = (JOB, 0, 0)
-    desk.ask(key)
-    assert not desk.needs_call(key)
+    controller.ask(key)
+    assert not controller.needs_call(key)
     advised_rig.log.send(commands.RemoveMinion(first.life, 0))
-    assert desk.needs_call(key)
+    assert controller.needs_call(key)
 
 
-def test_more_minions_than_one_call_takes_are_all_asked_about(advised_rig):
+def test_permission_is_requested_for_more_minions_than_one_call_holds(advised_rig):
     lives = [f"i-{number}" for number in range(100, 100 + 2 * MINIONS_IN_CALL)]
     for number, life in enumerate(lives, 100):
         minion = make_minion(number, id=life)
         advised_rig.log.send(commands.RegisterMinion(minion, 0))
     adviser = Adviser(lives[-1])
-    desk = PermissionDesk(advised_rig.dispatcher.session, adviser)
+    controller = PermissionDesk(advised_rig.dispatcher.session, adviser)
     advised_rig.log.submit(Step(1))
     key = (JOB, 0, 0)
     for _ in range(3):
-        if desk.needs_call(key):
-            desk.ask(key)
-    assert desk.permitted(key) == {lives[-1]}
+        if controller.needs_call(key):
+            controller.ask(key)
+    assert controller.permitted(key) == {lives[-1]}
 
 
-class CountedDesk(PermissionDesk):
-    """Counts its turns, and fails before it holds the process for good."""
+class CountingController(PermissionDesk):
+    """Counts its passes, and fails instead of blocking the process forever."""
 
-    turns = 0
+    passes = 0
 
     def forget(self):
         super().forget()
-        self.turns += 1
-        assert self.turns < 1000, "turns without giving way"
+        self.passes += 1
+        assert self.passes < 1000, "the loop does not yield"
 
 
-def test_a_step_whose_pool_is_empty_does_not_hold_the_process(advised_rig):
+def test_a_step_whose_pool_is_empty_does_not_block_the_process(advised_rig):
     for minion in advised_rig.minions:
         advised_rig.log.send(commands.RemoveMinion(minion.life, 0))
     advised_rig.submit(Step(1))
-    desk = CountedDesk(advised_rig.dispatcher.session, Adviser())
-    asking = gevent.spawn(desk.run)
-    assert wait_until(lambda: desk.turns > 2, SECONDS)
+    controller = CountingController(advised_rig.dispatcher.session, Adviser())
+    asking = gevent.spawn(controller.run)
+    assert wait_until(lambda: controller.passes > 2, SECONDS)
     assert not asking.dead
     asking.kill()
--- a/tests/test_repetition.py
+++ b/tests/test_repetition.py
@@ -1,8 +1,8 @@
-"""What is repeated for a task has a bound or a growing pause.
+"""Repeated actions for a task have a bound or a growing backoff.
 
-Found while looking for the cause of tasks that crash minions elsewhere: a task
-that lasts and ends at once was started again some hundred times a second, and one
-that stands still wherever it runs was stopped and moved every few seconds.
+Guards against a long-running task that ends at once and is restarted some hundred
+times a second, and against a task that stalls on every minion and is stopped and
+moved every few seconds.
 """
 
 from types import SimpleNamespace
@@ -25,10 +25,10 @@
 __all__ = ["rig"]
 
 
-def test_a_lasting_task_that_ends_at_once_is_started_ever_more_rarely(rig):
+def test_a_long_running_task_that_ends_at_once_is_started_ever_more_rarely(rig):
     minion = TaskMinion(task_seconds=0.01)
-    here = rig(minion)
-    here.submit(Step(1, lasts=True))
+    harness = rig(minion)
+    harness.submit(Step(1, lasts=True))
     assert wait_until(lambda: len(minion.starts) > 1, SECONDS)
     gevent.sleep(2.0)
     assert len(minion.starts) <= 8
@@ -36,7 +36,7 @@
     assert wait_until(lambda: minion.running, SECONDS)
 
 
-def test_a_job_that_is_lost_with_its_vms_ends_as_failed():
+def test_a_job_whose_tasks_are_lost_repeatedly_ends_as_failed():
     fleet = Fleet()
     submit(fleet, "j")
     for _ in range(MAX_LOSSES):
@@ -50,41 +50,39 @@
     assert fleet.state.get("job", "j").state is JobState.FAILED
 
 
-def test_the_pause_grows_to_a_bound_and_ends_with_a_long_run():
-    pauses = [pause_seconds(ends) for ends in range(1, 40)]
-    assert pauses[0] == 0
-    assert pauses == sorted(pauses)
-    assert pauses[-1] <= 2.0
-    book = RestartBook()
+def test_the_backoff_grows_to_a_bound_and_is_reset_by_a_long_run():
+    backoffs = [pause_seconds(ends) for ends in range(1, 40)]
+    assert backoffs[0] == 0
+    assert backoffs == sorted(backoffs)
+    assert backoffs[-1] <= 2.0
+    restarts = RestartBook()
     for now in range(3):
-        book.note_end(task(), 0.1, now)
-    assert book.paused(2.0) == {task()}
-    book.note_end(task(), 5.0, 7.0)
-    assert not book.paused(7.0)
+        restarts.note_end(task(), 0.1, now)
+    assert restarts.paused(2.0) == {task()}
+    restarts.note_end(task(), 5.0, 7.0)
+    assert not restarts.paused(7.0)
 
 
-def test_the_tasks_that_are_remembered_are_bounded():
-    book = RestartBook()
+def test_the_number_of_tasks_with_a_backoff_is_bounded():
+    restarts = RestartBook()
     for index in range(MAX_TASKS + 5):
-        book.note_end(task(index=index), 0.1, index)
-    assert len(book.pause_by_task) == MAX_TASKS
+        restarts.note_end(task(index=index), 0.1, index)
+    assert len(restarts.pause_by_task) == MAX_TASKS
 
 
-def test_a_task_that_stands_still_everywhere_is_moved_ever_more_rarely(
-    rig, monkeypatch
-):
+def test_a_task_that_stalls_on_every_minion_is_moved_ever_more_rarely(rig, monkeypatch):
     monkeypatch.setattr(health_module, "HUNG_SECONDS", 0.3)
     monkeypatch.setattr(health_module, "SICK_FROM", 100)
     monkeypatch.setattr(watch_module, "MAX_STALLS", 2)
     minions = [TaskMinion() for _ in range(3)]
-    here = rig(*minions)
-    here.submit(Step(1))
+    harness = rig(*minions)
+    harness.submit(Step(1))
 
     def starts():
         return sum(len(one.starts) for one in minions)
 
     assert wait_until(lambda: starts() == 4, SECONDS)
-    watch = here.dispatcher.session.watch
+    watch = harness.dispatcher.session.watch
     assert [watch.patience(task()) for _ in range(2)] == [2, 2]
     assert wait_until(lambda: starts() == 5, SECONDS)
     assert watch.patience(task()) == 4
--- a/tests/test_waiting_beside_room.py
+++ b/tests/test_waiting_beside_room.py
@@ -1,13 +1,10 @@
-"""A task never waits for ever beside room that it could use.
-
-Seen: at the end of a day a task of an accepted job could run and did not,
-while most of the room of its pool was free. How it came about, in days of our
-own: a wave emptied a VM and stopped its task, the VM was lost for good, and the
-stop without an answer kept the run recorded beyond its lease. Cause: something
-waits for a condition that nobody brings about. The same was sought elsewhere: a
-step that wants one rack waited for a rack that tasks that last never leave.
-Proof: a VM that is lost while a wave empties it, and a property over pools with
-tasks that last in every rack.
+"""Tasks that wait forever although their pool has free capacity.
+
+A task starves when it waits for a condition that nothing brings about. The tests
+guard against two cases. A wave drained a VM and stopped its task, the VM was lost
+for good, and the stop without an answer kept the run recorded after its lease had
+expired. And a `same_rack` step waited for capacity in a rack that long-running
+tasks never release.
 """
 
 from hypothesis import given, settings, strategies as st
@@ -25,15 +22,15 @@
 from tests.test_job_plan import OTHER, make_log
 from tests.test_job_rules import JOB, make_minion, task
 
-#: Passes after which nothing new can come: what one starts bars nothing that
-#: another would not have barred.
+#: Planning passes after which nothing more can start: the starts of one pass rule
+#: out no starts that the other passes would allow.
 PASSES = 3
 
 MINION_MILLICORES = 4000
 
 
 def settle(log):
-    """Plan and record until nothing changes."""
+    """Plan and record starts until no more starts can follow."""
     for _ in range(PASSES):
         usable = set(log.table.minion_by_id)
         starts, gangs = plan_starts(log.table, Outlook(0, usable))
@@ -41,7 +38,7 @@
 
 
 def slots(log, step):
-    """Return how many more tasks of the step of `JOB` its pool has room for."""
+    """Return how many more tasks of the step of `JOB` fit into its pool."""
     table = log.table
     carried = table.carried_by_step.get((JOB, 0, 0), {})
     total = 0
@@ -56,14 +53,14 @@
 
 
 def is_half_free(log):
-    """Whether less than half of the room of the pool is in use."""
+    """Whether less than half of the CPU of the pool is in use."""
     taken = log.table.taken_by_minion.values()
-    room = MINION_MILLICORES * len(log.table.minion_by_id)
-    return 2 * sum(one.cpu_millicores for one in taken) < room
+    capacity = MINION_MILLICORES * len(log.table.minion_by_id)
+    return 2 * sum(one.cpu_millicores for one in taken) < capacity
 
 
 def waits_beside_room(log, step):
-    """Whether a task of `JOB` waits though there is room for it twice over."""
+    """Whether a task of `JOB` waits though twice its capacity is free."""
     runs = sum(key.job == JOB for key in log.table.run_by_task)
     if runs == step.count or (runs and not step.lasts):
         return False
@@ -91,7 +88,7 @@
 
 @settings(derandomize=True, deadline=None, max_examples=600)
 @given(RACKS, STEPS, LASTING)
-def test_no_step_waits_beside_room_that_tasks_that_last_leave(racks, step, lasting):
+def test_no_step_starves_beside_long_running_tasks(racks, step, lasting):
     minions = [
         make_minion(number, rack=rack, labels=("a", rack))
         for number, rack in enumerate(racks)
@@ -107,14 +104,14 @@
 
 
 def two_racks():
-    """Return a log whose pool has two racks of two minions."""
+    """Return a log whose pool has two racks of two minions each."""
     racks = ("r1", "r1", "r2", "r2")
     return make_log(
         *(make_minion(n, rack=one, labels=("a", one)) for n, one in enumerate(racks))
     )
 
 
-def test_a_rack_that_tasks_that_last_never_leave_is_not_waited_for():
+def test_a_step_does_not_wait_for_a_rack_full_of_long_running_tasks():
     log = two_racks()
     for number in (0, 2):
         job = f"{number:016x}"
@@ -125,7 +122,7 @@
     assert len([key for key in log.table.run_by_task if key.job == JOB]) == 4
 
 
-def test_tasks_that_last_go_elsewhere_when_their_rack_is_full():
+def test_long_running_tasks_use_another_rack_when_theirs_is_full():
     log = two_racks()
     log.submit(Step(4, cpu_millicores=2000, same_rack=True, lasts=True))
     log.start(task(index=0), minion="i-0")
@@ -135,7 +132,7 @@
     assert len([key for key in log.table.run_by_task if key.job == JOB]) == 4
 
 
-def test_a_busy_rack_is_waited_for_as_long_as_that_pays():
+def test_a_step_waits_for_a_busy_rack_only_as_long_as_that_saves_time():
     log = two_racks()
     for number in range(4):
         job = f"{number:016x}"
@@ -152,7 +149,7 @@
         assert len(plan_starts(log.table, outlook)[0]) == expected
 
 
-def test_a_leader_notes_how_long_a_step_waits_for_its_rack():
+def test_a_leader_tracks_how_long_a_step_waits_for_its_rack():
     rig = Rig(TaskMinion(task_seconds=0.5), TaskMinion(task_seconds=0.5))
     try:
         rig.submit(Step(2, cpu_millicores=16_000))
@@ -173,7 +170,7 @@
 
 
 class Platform:
-    """Takes no VM down and lists none."""
+    """Stub of the platform: takes no VM down and gives no VM list."""
 
     def upkeep(self, vm, wave, holder, fence, seconds):
         return FleetReply.BUSY
@@ -182,7 +179,7 @@
         return None
 
 
-def test_a_task_whose_vm_is_lost_while_a_wave_empties_it_runs_elsewhere():
+def test_a_task_whose_vm_is_lost_while_a_wave_drains_it_runs_elsewhere():
     minions = (TaskMinion(), TaskMinion())
     rig = Rig(*minions)
     try:
