--- a/tests/test_job_plan.py
+++ b/tests/test_job_plan.py
@@ -39,7 +39,7 @@
 
 
 def plan(log, now_ms=0, **outlook):
-    """Return the starts and gangs of a planning pass; all minions are usable by default."""
+    """Return the starts and gangs of a planning pass; by default on all minions."""
     usable = outlook.pop("usable", set(log.table.minion_by_id))
     return plan_starts(log.table, Outlook(now_ms, usable, **outlook))
 
--- a/tests/test_load_backlog.py
+++ b/tests/test_load_backlog.py
@@ -1,15 +1,12 @@
-"""A leader with a backlog that no pool has room for.
-
-Seen on a day made for it: a crest brought more work than its pool could do;
-then all kinds of jobs failed, and still did 15 s after a restart of all
-machines, though the crest was long over. How it came about: each planning pass
-looked for room on every minion of the pool for every step that waited, and
-there is a pass after each change: 47 ms with 999 steps and 70 minions, of which
-none started. So the leader had no time to start what other pools had room for,
-or to end what was done, and the backlog stayed. Cause: the work of a pass grew
-with the steps that cannot start. Proof: the looks for room in a pass are
-counted, and they do not grow with the backlog; and a long pass is followed by
-as long a pause.
+"""Planning passes with a backlog that exceeds the free capacity of its pool.
+
+Guards against a pass whose work grows with the steps that cannot start. Each pass
+checked every minion of the pool for every waiting step, 47 ms for 999 steps and 70
+minions, and each change caused a pass. The leader had no time left to start tasks of
+other pools or to record ended runs, so the backlog stayed after the load peak and
+after a restart of all machines, and jobs of all kinds failed. The number of capacity
+checks in a pass must not grow with the backlog, and a long pass must be followed by
+an equally long pause.
 """
 
 import pytest
@@ -47,8 +44,8 @@
 
 
 @pytest.fixture
-def looks(monkeypatch):
-    """The looks for room, as a list that grows."""
+def capacity_checks(monkeypatch):
+    """The minions that were checked for free capacity, as a growing list."""
     made = []
     fits = Room.fits
 
@@ -61,28 +58,32 @@
 
 
 @pytest.mark.parametrize("jobs", [9, 900])
-def test_a_pass_over_a_full_pool_does_not_grow_with_the_backlog(looks, jobs):
+def test_capacity_checks_in_a_full_pool_do_not_grow_with_the_backlog(
+    capacity_checks, jobs
+):
     log = make_backlog(jobs)
-    looks.clear()
+    capacity_checks.clear()
     assert plan(log) == ()
-    # Once for each size that waits, at most: the sizes are three.
-    assert len(looks) <= 3 * MINIONS
+    # At most one check per minion for each of the three waiting task sizes.
+    assert len(capacity_checks) <= 3 * MINIONS
 
 
-def test_a_long_pass_is_followed_by_as_long_a_pause(monkeypatch):
-    ahead = [0.0]
+def test_a_long_planning_pass_is_followed_by_an_equally_long_pause(monkeypatch):
+    clock_offset = [0.0]
     clock = session_module.lease_seconds
-    monkeypatch.setattr(session_module, "lease_seconds", lambda: clock() + ahead[0])
+    monkeypatch.setattr(
+        session_module, "lease_seconds", lambda: clock() + clock_offset[0]
+    )
 
     def long_pass(table, outlook):
-        ahead[0] += LONG_PASS_SECONDS
+        clock_offset[0] += LONG_PASS_SECONDS
         return plan_starts(table, outlook)
 
     monkeypatch.setattr(session_module, "plan_starts", long_pass)
     rig = Rig(TaskMinion(task_seconds=0.05))
     try:
         rig.submit(Step(1))
-        assert wait_until(lambda: ahead[0] > 0, SECONDS)
+        assert wait_until(lambda: clock_offset[0] > 0, SECONDS)
         assert rig.dispatcher.session.gather_seconds >= LONG_PASS_SECONDS
     finally:
         rig.close()
--- a/tests/test_load_large_fleet.py
+++ b/tests/test_load_large_fleet.py
@@ -1,7 +1,8 @@
-"""The load: decisions on moves over 30 to 3,000 VMs.
+"""The cost of decisions on moves for fleets of 30 to 3,000 VMs.
 
-A decision may go over each VM once. What it reads for a VM must not be made
-anew from all of them, or its cost grows with the square of the fleet.
+A decision may iterate over all VMs a fixed number of times. What it reads for one VM
+must not be computed from all VMs again, or its cost grows with the square of the
+fleet's size.
 """
 
 from types import SimpleNamespace
@@ -20,18 +21,22 @@
 POOLS = 4
 
 
-class Counted(dict):
-    """Counts how many items are gone over."""
+class CountingDict(dict):
+    """Dict that counts the values iterated over, summed over all instances."""
 
     seen = 0
 
     def values(self):
         for value in super().values():
-            Counted.seen += 1
+            CountingDict.seen += 1
             yield value
 
 
-def make_desk(count):
+def make_controller(count):
+    """Return the controller of moves and the table of a fleet of `count` VMs.
+
+    The VMs belong to four pools in turn; a third of all is in maintenance.
+    """
     log = Log()
     queues = tuple(
         Queue(f"q{n}", HOST, f"/q{n}/", f"pool-{n}", timeout_ms=1) for n in range(POOLS)
@@ -57,18 +62,19 @@
     return MoveDesk(session, None, PoolTerms(), 1.5), table
 
 
-def cost_of_a_decision(count):
-    desk, table = make_desk(count)
-    list(desk.views(table.config, lease_seconds()))
-    table.minion_by_id = Counted(table.minion_by_id)
-    table.wave_by_number = Counted(table.wave_by_number)
-    Counted.seen = 0
-    views = list(desk.views(table.config, lease_seconds()))
+def count_visited_values(count):
+    """Return how many VMs and waves one decision iterates over."""
+    controller, table = make_controller(count)
+    list(controller.views(table.config, lease_seconds()))
+    table.minion_by_id = CountingDict(table.minion_by_id)
+    table.wave_by_number = CountingDict(table.wave_by_number)
+    CountingDict.seen = 0
+    views = list(controller.views(table.config, lease_seconds()))
     idle = sum(len(view.idle) for view in views)
     assert idle == count - count // 3
-    return Counted.seen
+    return CountingDict.seen
 
 
 @pytest.mark.parametrize("count", [30, 300, 3000])
-def test_a_decision_goes_over_each_vm_twice_and_over_each_wave_once(count):
-    assert cost_of_a_decision(count) == 2 * count + 1
+def test_a_decision_visits_each_vm_twice_and_each_wave_once(count):
+    assert count_visited_values(count) == 2 * count + 1
--- a/tests/test_load_wave.py
+++ b/tests/test_load_wave.py
@@ -1,10 +1,10 @@
-"""The load: an upkeep wave takes many VMs of pools whose tasks last.
+"""A maintenance wave over many VMs of pools with long-running tasks.
 
-With 272 VMs a wave took 112 of them, 45 at once. The VMs that it had taken
-still counted as room, so that pools got no others in their place; tasks that
-last were moved from one VM of the wave to the next; and as one of their step
-leaves only while the others are at work, the last ones left 2 s late, one
-each 1 to 3.7 s. Six VMs were left at the end of the wave's time.
+Guards against faults that left six VMs undone at the deadline of a wave over 112 of
+272 VMs, 45 at once. VMs in maintenance still counted as capacity, so their pools got
+no replacements. Long-running tasks were moved from one VM of the wave to the next.
+And as a task leaves only while the others of its step are at work, the last ones left
+2 s late, one every 1 to 3.7 s.
 """
 
 from types import SimpleNamespace
@@ -21,43 +21,43 @@
 from hingepitch.jobs.upkeep import UpkeepDesk
 from hingepitch.jobs.watch import WARMING_LOOK_MS, WARMING_SECONDS, RunWatch
 from tests.test_job_rules import JOB, Log, make_config, make_minion, task
-from tests.test_load_large_fleet import make_desk
+from tests.test_load_large_fleet import make_controller
 
 POOL = "pool-0"
-LONGEST_LOOK_MS = 2000
+LONGEST_POLL_MS = 2000
 UPKEEP_SECONDS = 2.0
 
 
-def present_in(desk, table):
-    views = list(desk.views(table.config, lease_seconds()))
+def present_in(controller, table):
+    views = list(controller.views(table.config, lease_seconds()))
     return next(view.present for view in views if view.name == POOL)
 
 
 def test_vms_that_leave_for_their_upkeep_are_not_present():
-    desk, table = make_desk(40)
-    assert present_in(desk, table) == 10 - 4
-    desk.session.upkeep.leaving_since_by_vm["vm-36"] = 0.0
-    assert present_in(desk, table) == 10 - 5
+    controller, table = make_controller(40)
+    assert present_in(controller, table) == 10 - 4
+    controller.session.upkeep.leaving_since_by_vm["vm-36"] = 0.0
+    assert present_in(controller, table) == 10 - 5
 
 
-def test_a_vm_that_drains_and_leaves_for_its_upkeep_is_missing_once():
-    desk, table = make_desk(40)
-    before = present_in(desk, table)
+def test_a_draining_vm_that_leaves_for_its_upkeep_is_subtracted_once():
+    controller, table = make_controller(40)
+    before = present_in(controller, table)
     table.minion_by_id["i-36"] = make_minion(36, pool=POOL, is_draining=True)
-    desk.session.upkeep.leaving_since_by_vm["vm-36"] = 0.0
-    assert present_in(desk, table) == before - 1
+    controller.session.upkeep.leaving_since_by_vm["vm-36"] = 0.0
+    assert present_in(controller, table) == before - 1
 
 
-def test_vms_that_are_back_from_their_upkeep_are_present_again():
-    desk, table = make_desk(40)
+def test_vms_that_returned_from_their_upkeep_are_present_again():
+    controller, table = make_controller(40)
     wave = table.wave_by_number[1]
     for vm in wave.vms:
         wave.stage_by_vm[vm] = UpkeepStage.OVER
-    assert present_in(desk, table) == 10
+    assert present_in(controller, table) == 10
 
 
 @pytest.mark.parametrize("due", [("vm-1", "vm-2"), ("vm-2", "vm-3")])
-def test_tasks_that_last_go_to_vms_without_an_upkeep_ahead(due):
+def test_long_running_tasks_prefer_vms_without_pending_maintenance(due):
     log = Log()
     log.send(commands.PutQueues(make_config()))
     for number in (1, 2, 3):
@@ -70,7 +70,7 @@
     assert not taken & set(due)
 
 
-def test_tasks_that_last_do_not_wait_for_a_vm_without_an_upkeep_ahead():
+def test_long_running_tasks_do_not_wait_for_a_vm_without_pending_maintenance():
     log = Log()
     log.send(commands.PutQueues(make_config()))
     log.send(commands.RegisterMinion(make_minion(1), 0))
@@ -80,7 +80,8 @@
     assert len(starts) == 2
 
 
-def make_watch(percent, answered_at, lasts=True):
+def next_poll_wait_ms(percent, answered_at, lasts=True):
+    """Return the wait of the next status poll of a minion with one running task."""
     log = Log()
     log.send(commands.PutQueues(make_config()))
     log.send(commands.RegisterMinion(make_minion(1), 0))
@@ -91,7 +92,7 @@
     if percent is not None:
         view.row = RunningRow(task(0), 1, "", percent)
     session = SimpleNamespace(
-        terms=SimpleNamespace(look_wait_ms=LONGEST_LOOK_MS),
+        terms=SimpleNamespace(look_wait_ms=LONGEST_POLL_MS),
         step_of=lambda run: log.table.job_by_id[JOB].spec.steps[run.task.step],
     )
     agent = SimpleNamespace(view_by_task={task(0): view})
@@ -99,16 +100,16 @@
 
 
 @pytest.mark.parametrize("percent", [None, 0, 60])
-def test_a_task_that_begins_to_last_is_looked_at_soon(percent):
-    assert make_watch(percent, lease_seconds()) == WARMING_LOOK_MS
+def test_a_long_running_task_that_warms_up_is_polled_soon(percent):
+    assert next_poll_wait_ms(percent, lease_seconds()) == WARMING_LOOK_MS
 
 
-def test_a_task_at_work_is_looked_at_seldom():
-    assert make_watch(100, lease_seconds()) == LONGEST_LOOK_MS
+def test_a_task_at_work_is_polled_with_the_longest_wait():
+    assert next_poll_wait_ms(100, lease_seconds()) == LONGEST_POLL_MS
 
 
-def test_a_task_that_never_comes_to_work_is_not_looked_at_often_for_ever():
-    assert make_watch(0, lease_seconds() - WARMING_SECONDS) == LONGEST_LOOK_MS
+def test_frequent_polls_of_a_task_that_never_warms_up_end():
+    assert next_poll_wait_ms(0, lease_seconds() - WARMING_SECONDS) == LONGEST_POLL_MS
 
 
 def make_upkeep(agent):
@@ -120,21 +121,21 @@
         commands=[],
         propose=lambda command: session.commands.append(command),
     )
-    desk = UpkeepDesk(session, None, UPKEEP_SECONDS)
-    desk.leaving_since_by_vm["vm-1"] = 0.0
-    return desk
+    controller = UpkeepDesk(session, None, UPKEEP_SECONDS)
+    controller.leaving_since_by_vm["vm-1"] = 0.0
+    return controller
 
 
 @pytest.mark.parametrize(
     ("met_after", "is_back"), [(1.9, True), (1.7, False), (0.5, False)]
 )
 def test_a_vm_is_back_once_its_next_life_is_known(met_after, is_back):
-    """A life that is known sooner may be from before, its first beat late."""
+    """An incarnation known sooner may be an earlier one with a late heartbeat."""
     settled_at = lease_seconds()
     life = SimpleNamespace(id="i-2")
     met_at = settled_at + met_after
     agent = SimpleNamespace(minion=life, beat_at=0.0, met_at=met_at)
-    desk = make_upkeep(agent)
-    desk.settled_at_by_vm["vm-1"] = settled_at
-    desk.finish_if_back(SimpleNamespace(number=1), "vm-1", settled_at + met_after)
-    assert ("vm-1" not in desk.leaving_since_by_vm) is is_back
+    controller = make_upkeep(agent)
+    controller.settled_at_by_vm["vm-1"] = settled_at
+    controller.finish_if_back(SimpleNamespace(number=1), "vm-1", settled_at + met_after)
+    assert ("vm-1" not in controller.leaving_since_by_vm) is is_back
--- a/tests/test_odd_commands.py
+++ b/tests/test_odd_commands.py
@@ -1,13 +1,13 @@
-"""Random commands with odd sizes, times and names, through rules and planning.
+"""Random commands with unusual sizes, times and names, applied and planned.
 
-A command that a rule fails at stops every replica that applies it, and a job at
-which planning fails stops every leader in turn, so neither may exist. None was
-found. What was: a life that names another VM, as another writer may have it,
-stayed the life of its first one when it had ended. The leader's moves look up
-the lives of VMs, and each session of each leader ended there (KeyError).
+A command for which a rule raises an error would stop every replica that applies it,
+and a job for which planning raises would stop every leader in turn. A separate test
+covers an incarnation that is registered again with another VM, as another writer may
+do: after its end it was still recorded as the incarnation of the first VM, and the
+moves of every leader's session failed with KeyError.
 
-Sizes go up to what the log can carry (64 bits), texts are empty, long, or hold
-odd characters.
+Numbers go up to what the log can carry (64 bits); texts are empty, long, or contain
+unusual characters.
 """
 
 import random
@@ -30,45 +30,47 @@
 
 ROUNDS = 40
 
-#: Commands for each life that there is: some lives are named more than once.
+#: Commands for each incarnation, so that some incarnations register repeatedly.
 LIFE_COMMANDS = 10
 WALL_MS = 1_700_000_000_000
 
-#: Part of the values that are odd: with more, hardly a run ever starts.
-ODD_PART = 0.12
-ODD_NUMBERS = (-(2**63), -1, 2, 2**31, 2**53, 2**63 - 1, 2**63, 2**64 - 1)
-ODD_FLOATS = (-1e308, -1.0, 0.0, 1e-308, 1e308)
-ODD_TEXTS = ("\0", "/", "pool", "x" * 300, "\N{SNOWMAN}")
+#: Fraction of unusual values: with a larger one, hardly any run starts.
+UNUSUAL_FRACTION = 0.12
+UNUSUAL_NUMBERS = (-(2**63), -1, 2, 2**31, 2**53, 2**63 - 1, 2**63, 2**64 - 1)
+UNUSUAL_FLOATS = (-1e308, -1.0, 0.0, 1e-308, 1e308)
+UNUSUAL_TEXTS = ("\0", "/", "pool", "x" * 300, "\N{SNOWMAN}")
 
 
-class Oddities:
-    """Makes commands; `state` is what they were applied to."""
+class CommandFuzzer:
+    """Generates random commands and applies them to `state`."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
         self.state = State()
         self.index = 1
 
-    def pick(self, odd, plain):
-        return self.rng.choice(odd if self.rng.random() < ODD_PART else plain)
+    def pick(self, unusual, plain):
+        return self.rng.choice(
+            unusual if self.rng.random() < UNUSUAL_FRACTION else plain
+        )
 
     def number(self):
-        return self.pick(ODD_NUMBERS, (0, 0, 1, 100))
+        return self.pick(UNUSUAL_NUMBERS, (0, 0, 1, 100))
 
     def text(self):
-        return self.pick(ODD_TEXTS, ("",))
+        return self.pick(UNUSUAL_TEXTS, ("",))
 
     def flag(self):
         return self.rng.random() < 0.3
 
     def send(self, role, command):
-        """Apply a command as the log would carry it, if it can carry it."""
+        """Apply a command after a round trip through its encoding, if it has one."""
         self.index += 1
         envelope = Envelope(role, "", "x", command, at_seconds=1)
         try:
             data = encode_envelope(envelope)
         except OverflowError:
-            return  # Answered to the caller; nothing gets into the log.
+            return  # The caller gets an error, and the log no entry.
         try:
             decoded = decode_envelope(data)
         except HingepitchError:
@@ -83,7 +85,7 @@
             "pool",
             self.number(),
             self.number(),
-            self.pick(ODD_FLOATS, (1.0, 2.5)),
+            self.pick(UNUSUAL_FLOATS, (1.0, 2.5)),
             self.number(),
             max(1, self.number()),
         )
@@ -91,7 +93,7 @@
 
     def step(self):
         return Step(
-            count=self.pick(ODD_NUMBERS, (1, 2, 3)),
+            count=self.pick(UNUSUAL_NUMBERS, (1, 2, 3)),
             cpu_millicores=self.number(),
             memory_mb=self.number(),
             accelerators=self.number(),
@@ -104,13 +106,13 @@
             allows_copies=self.flag(),
             lasts=self.flag(),
             fills_spare_cpu=self.flag(),
-            max_away=self.pick(ODD_NUMBERS, (None, 1)),
+            max_away=self.pick(UNUSUAL_NUMBERS, (None, 1)),
             target_ms=self.number(),
         )
 
     def spec(self):
         steps = tuple(self.step() for _ in range(self.rng.randrange(1, 4)))
-        times = self.pick(ODD_NUMBERS, (0, 0, 2))
+        times = self.pick(UNUSUAL_NUMBERS, (0, 0, 2))
         return JobSpec(self.text(), steps, times, self.number(), self.number())
 
     def minion(self):
@@ -128,7 +130,7 @@
             is_draining=self.flag(),
         )
 
-    def play_round(self):
+    def run_round(self):
         """Apply one command of each kind, plan, and end some runs."""
         table = self.state.jobs
         self.send(Role.OPERATOR, commands.PutQueues(self.config()))
@@ -171,25 +173,25 @@
 
     def outlook(self):
         lives = set(self.state.jobs.minion_by_id)
-        doubt = dict.fromkeys(lives, 0)
-        return Outlook(WALL_MS, lives, doubt, {}, Durations(), 2.0, {})
+        avoidance = dict.fromkeys(lives, 0)
+        return Outlook(WALL_MS, lives, avoidance, {}, Durations(), 2.0, {})
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_no_command_stops_the_rules_the_planning_or_a_snapshot(seed):
-    oddities = Oddities(seed)
-    started = sum(oddities.play_round() for _ in range(ROUNDS))
-    table = oddities.state.jobs
-    restored = State.from_snapshot(oddities.state.to_snapshot()).jobs
+def test_no_command_makes_rules_planning_or_snapshots_fail(seed):
+    fuzzer = CommandFuzzer(seed)
+    started = sum(fuzzer.run_round() for _ in range(ROUNDS))
+    table = fuzzer.state.jobs
+    restored = State.from_snapshot(fuzzer.state.to_snapshot()).jobs
     assert restored.run_by_task.keys() == table.run_by_task.keys()
     assert restored.life_by_vm == table.life_by_vm
     assert started
 
 
-def test_a_life_that_names_another_vm_leaves_the_first_one():
-    """Left there, it was looked up after its end: the leader's moves failed."""
-    state = Oddities(0).state
-    minion = Oddities(0).minion()
+def test_an_incarnation_that_changes_its_vm_leaves_the_first_one():
+    """A stale incarnation of the first VM made the moves of the leader fail."""
+    state = CommandFuzzer(0).state
+    minion = CommandFuzzer(0).minion()
     state.jobs.put_minion(replace(minion, vm="vm-1"), 0)
     state.jobs.put_minion(replace(minion, vm="vm-2"), 0)
     assert state.jobs.life_by_vm == {"vm-2": minion.id}
--- a/tests/test_slow_disk.py
+++ b/tests/test_slow_disk.py
@@ -1,7 +1,7 @@
-"""The load: the disk of the leader is slow, or hangs.
+"""A leader whose disk is slow or hangs.
 
-Its changes are committed by the others, and it is never counted among those
-that have them before its own disk has.
+The other replicas can commit its entries without it. The leader counts towards the
+quorum of an entry only when the entry is on its own disk.
 """
 
 from types import SimpleNamespace
@@ -33,7 +33,7 @@
 
 
 class GatedStorage:
-    """A data folder in memory whose writes wait while `gate` is closed."""
+    """Data folder in memory whose writes wait while `gate` is closed."""
 
     def __init__(self):
         self.gate = Event()
@@ -57,7 +57,7 @@
 
 
 class Links:
-    """Keeps what would be sent."""
+    """Stub of the links to other replicas that keeps the messages sent."""
 
     def __init__(self):
         self.sent = []
@@ -70,7 +70,7 @@
 
 
 class Group:
-    """The replica n0 of three, and what the others say to it."""
+    """The replica n0 of a group of three, and the messages from the others."""
 
     def __init__(self):
         self.storage = GatedStorage()
@@ -86,7 +86,7 @@
             gevent.spawn(self.replica.write_ahead),
         ]
 
-    def hear(self, kind, sender="n1", term=1, **fields):
+    def receive(self, kind, sender="n1", term=1, **fields):
         self.replica.receive(Message(kind, sender, "n0", term, **fields))
 
     def lead(self):
@@ -94,16 +94,16 @@
         while core.role != "pre_candidate":
             self.replica.put(Tick())
             gevent.sleep(0)
-        self.hear(MessageKind.PRE_VOTE_ANSWER, granted=True)
+        self.receive(MessageKind.PRE_VOTE_ANSWER, granted=True)
         assert wait_until(lambda: core.role == "candidate", SECONDS)
-        self.hear(MessageKind.VOTE_ANSWER, granted=True)
+        self.receive(MessageKind.VOTE_ANSWER, granted=True)
         assert wait_until(lambda: core.role == "leader", SECONDS)
         self.acknowledge("n1", 1)
         assert wait_until(lambda: core.commit_index == 1, SECONDS)
         assert wait_until(lambda: not self.replica.writer.is_behind, SECONDS)
 
     def acknowledge(self, name, index):
-        self.hear(MessageKind.APPEND_ANSWER, name, granted=True, index=index)
+        self.receive(MessageKind.APPEND_ANSWER, name, granted=True, index=index)
 
     def propose(self):
         envelope = Envelope(Role.DISPATCHER, "", "test", OpenRounds(()))
@@ -155,7 +155,7 @@
     group.storage.gate.clear()
     group.propose()
     assert wait_until(lambda: last_sent_index(group) == 2, SECONDS)
-    group.hear(MessageKind.APPEND, term=2, index=2, log_term=1)
+    group.receive(MessageKind.APPEND, term=2, index=2, log_term=1)
     gevent.sleep(0.1)
     assert not group.links.of(MessageKind.APPEND_ANSWER)
     group.storage.gate.set()
@@ -163,7 +163,7 @@
     assert 2 in group.storage.written
 
 
-def test_commands_gather_while_the_disk_writes(group):
+def test_commands_are_batched_while_the_disk_writes(group):
     group.storage.gate.clear()
     rounds = len(group.links.of(MessageKind.APPEND))
     for _ in range(20):
@@ -182,7 +182,7 @@
     return Entry(index, 1, EntryKind.NOTHING, b"")
 
 
-def test_what_was_written_ahead_comes_before_what_follows():
+def test_background_writes_reach_the_disk_before_later_writes():
     events = []
     storage = GatedStorage()
     writer = LogWriter(storage, events.append)
@@ -192,7 +192,7 @@
     assert events == [Durable(2, 1)]
 
 
-def test_nothing_is_written_behind_an_entry_that_is_missing():
+def test_no_entry_is_written_after_one_that_could_not_be_written():
     storage = GatedStorage()
     writer = LogWriter(storage, lambda event: None)
     storage.fails = True
