--- a/tests/test_peer_words.py
+++ b/tests/test_peer_words.py
@@ -1,12 +1,10 @@
-"""Words of other processes that cannot be read: answers, addresses, messages.
-
-Looked for after control programs had ended at words that nothing expected to be
-unreadable. An address that was learnt from another process and is none raised
-ValueError in the client: it ended the greenlet that sends to that replica, which
-nothing starts again, and eight times the child that asks for the members. So did
-an answer of another version (a record of a kind that is not known here) in the
-entries and planners, and a message without its term in the replica itself.
-Proof: each of these tests, on the code as it was.
+"""Unreadable data from other processes: answers, addresses and messages.
+
+Guards against programs that end because of such data. An invalid address from another
+process raised ValueError in the client: it ended the greenlet that sends to that
+replica, which nothing restarts, and eight times the child that requests the members.
+An answer of another version (with a record of an unknown kind) had the same effect in
+entries and planners, as had a message without its term in the replica itself.
 """
 
 import random
@@ -35,11 +33,11 @@
 SECONDS = 5
 KEY = "a key that is long enough"
 
-#: Not an address, as another writer may have put it.
-NO_ADDRESS = "node-a"
+#: An invalid address, as another writer may have stored it.
+INVALID_ADDRESS = "node-a"
 
-#: More arrays in each other than a decoder goes through.
-DEEP = b"\x91" * 100_000
+#: Arrays that are nested more deeply than a decoder follows.
+DEEPLY_NESTED = b"\x91" * 100_000
 
 
 def assert_refused(code, function, *arguments):
@@ -48,21 +46,18 @@
     assert caught.value.code == code
 
 
-# Addresses.
-
-
-def test_a_call_to_what_is_no_address_is_a_call_that_did_not_arrive():
+def test_a_call_to_an_invalid_address_reports_an_unreachable_peer():
     assert_refused(
-        "peer_unreachable", ControlClient(NO_ADDRESS, "a", KEY).call, "challenge"
+        "peer_unreachable", ControlClient(INVALID_ADDRESS, "a", KEY).call, "challenge"
     )
 
 
-def test_a_link_goes_on_after_a_failure_that_nothing_expected(monkeypatch):
+def test_a_link_goes_on_after_an_unexpected_error(monkeypatch):
     monkeypatch.setattr(peer, "PAUSE_AFTER_FAILURE_SECONDS", 0.01)
     delivered = []
 
     class Client:
-        address = NO_ADDRESS
+        address = INVALID_ADDRESS
         fails = True
 
         def __init__(self, *_):
@@ -71,59 +66,56 @@
         def call(self, method, messages):
             if Client.fails:
                 Client.fails = False
-                raise RuntimeError("nobody expected this")
+                raise RuntimeError("unexpected error")
             delivered.extend(messages)
 
     monkeypatch.setattr(peer, "ControlClient", Client)
     links = PeerLinks("a", KEY)
     message = Message(MessageKind.VOTE, "a", "b", 1)
-    links.send(NO_ADDRESS, message)
+    links.send(INVALID_ADDRESS, message)
     assert wait_until(lambda: not Client.fails, SECONDS)
     gevent.sleep(0)
-    links.send(NO_ADDRESS, message)
+    links.send(INVALID_ADDRESS, message)
     assert wait_until(lambda: delivered, SECONDS)
 
 
-def test_members_at_what_is_no_address_are_not_called():
-    rows = [MemberRow("a", NO_ADDRESS, True), MemberRow("b", "10.0.0.2:1", False)]
+def test_members_with_an_invalid_address_are_dropped():
+    rows = [MemberRow("a", INVALID_ADDRESS, True), MemberRow("b", "10.0.0.2:1", False)]
     assert decode_rows(encode(rows)) == rows[1:]
 
 
-def test_a_book_whose_rows_cannot_be_called_leaves_the_settings(tmp_path):
-    (tmp_path / "peers").write_bytes(encode([MemberRow("a", NO_ADDRESS, True)]))
-    book = PeerBook(["10.0.0.1:7060"], tmp_path)
-    book.load()
-    assert book.addresses() == ["10.0.0.1:7060"]
+def test_a_registry_with_invalid_addresses_falls_back_to_the_settings(tmp_path):
+    (tmp_path / "peers").write_bytes(encode([MemberRow("a", INVALID_ADDRESS, True)]))
+    registry = PeerBook(["10.0.0.1:7060"], tmp_path)
+    registry.load()
+    assert registry.addresses() == ["10.0.0.1:7060"]
 
 
-def test_a_book_that_is_nested_without_end_leaves_the_settings(tmp_path):
-    row = b"\x91\x84\xa1x" + DEEP
+def test_a_deeply_nested_registry_falls_back_to_the_settings(tmp_path):
+    row = b"\x91\x84\xa1x" + DEEPLY_NESTED
     (tmp_path / "peers").write_bytes(row)
-    book = PeerBook(["10.0.0.1:7060"], tmp_path)
-    book.load()
-    assert book.addresses() == ["10.0.0.1:7060"]
+    registry = PeerBook(["10.0.0.1:7060"], tmp_path)
+    registry.load()
+    assert registry.addresses() == ["10.0.0.1:7060"]
     assert_refused("bad_request", decode_rows, row)
 
 
-def test_a_newcomer_that_cannot_be_called_does_not_join():
+def test_a_new_replica_with_an_invalid_address_does_not_join():
     replica = SimpleNamespace(
         is_leader=True,
         core=SimpleNamespace(term=1, members=(), leader="a"),
     )
     keeper = GroupKeeper(replica, None, None, None, 3)
-    question = JoinGroup("b~1", "b", NO_ADDRESS, "h")
-    assert_refused("bad_request", keeper.welcome, question)
+    request = JoinGroup("b~1", "b", INVALID_ADDRESS, "h")
+    assert_refused("bad_request", keeper.welcome, request)
     assert keeper.applicant_by_identity == {}
 
 
-# Answers.
-
-
-#: Heads of an answer to the first call, and of an exception instead of it.
+#: Header of a reply to the first call, and of an exception in its place.
 REPLY = b"\x80\x01\x00\x02\x00\x00\x00\x09challenge\x00\x00\x00\x00"
 EXCEPTION = b"\x80\x01\x00\x03\x00\x00\x00\x09challenge\x00\x00\x00\x00"
 
-#: Beginnings of its fields: none, bytes, a text that is none, a structure.
+#: Starts of its fields: none, a text, an invalid text, a structure, a whole text.
 FIELDS = (
     b"",
     b"\x0b\x00\x00",
@@ -133,8 +125,8 @@
 )
 
 
-class Babbler(socketserver.BaseRequestHandler):
-    """Answers every call with a beginning of an answer and random bytes."""
+class RandomReplyHandler(socketserver.BaseRequestHandler):
+    """Answers every call with the start of a reply and random bytes."""
 
     rng = None
 
@@ -146,10 +138,10 @@
 
 
 @pytest.fixture
-def babbler(request, monkeypatch):
-    monkeypatch.setattr(Babbler, "rng", random.Random(request.param))
-    server = socketserver.TCPServer(("127.0.0.1", 0), Babbler)
-    # A thread: the client waits for its answers without letting greenlets run.
+def random_reply_server(request, monkeypatch):
+    monkeypatch.setattr(RandomReplyHandler, "rng", random.Random(request.param))
+    server = socketserver.TCPServer(("127.0.0.1", 0), RandomReplyHandler)
+    # A thread is needed: the client blocks all greenlets while it waits for a reply.
     thread = threading.Thread(target=server.serve_forever, args=(0.01,))
     thread.start()
     yield f"127.0.0.1:{server.server_address[1]}"
@@ -158,35 +150,35 @@
     server.server_close()
 
 
-@pytest.mark.parametrize("babbler", range(3), indirect=True)
-def test_any_answer_leads_to_a_coded_error(babbler):
+@pytest.mark.parametrize("random_reply_server", range(3), indirect=True)
+def test_a_malformed_reply_raises_a_coded_error(random_reply_server):
     for _ in range(100):
-        client = ControlClient(babbler, "a", KEY, 0.2)
+        client = ControlClient(random_reply_server, "a", KEY, 0.2)
         with pytest.raises(HingepitchError):
             client.call("read_index")
 
 
-@pytest.mark.parametrize("data", [b"", b"\xc1", b"\x91\xa1x", DEEP, None])
-def test_an_outcome_that_cannot_be_read_is_a_call_that_failed(data, monkeypatch):
+@pytest.mark.parametrize("data", [b"", b"\xc1", b"\x91\xa1x", DEEPLY_NESTED, None])
+def test_an_unreadable_outcome_is_a_failed_call(data, monkeypatch):
     assert_refused("peer_failed", decode_outcome, data)
 
 
 CHANGES = [
     None,
     b"\xc1",
-    DEEP,
+    DEEPLY_NESTED,
     msgspec.msgpack.encode([("a kind of later versions", "x", {"name": "x"})]),
     msgspec.msgpack.encode([("vm", "x", {"name": 5})]),
 ]
 
 
 @pytest.mark.parametrize("objects", CHANGES)
-def test_changes_that_cannot_be_read_are_a_call_that_failed(objects):
+def test_unreadable_changes_are_a_failed_call(objects):
     assert_refused("peer_failed", lambda: list(decode_changes(objects)))
 
 
 class Group(GroupClient):
-    """A control group of a later version."""
+    """Stub of a control group of a later version."""
 
     def __init__(self):
         self.calls = 0
@@ -196,7 +188,7 @@
         return Changes(7, True, CHANGES[3], 3000)
 
 
-def test_an_entry_that_cannot_read_its_changes_has_no_lease_and_asks_again():
+def test_an_entry_with_unreadable_changes_has_no_lease_and_retries():
     group = Group()
     follower = Follower(group, "e", "h", dict)
     running = gevent.spawn(follower.run)
@@ -207,14 +199,13 @@
     assert follower.version == 0
 
 
-# Messages between replicas.
-
 MEMBERS_PAYLOAD = msgspec.msgpack.encode((Member("a", "a", "10.0.0.1:1", "h"),))
 
 
 def wire(**fields):
-    whole = {"kind": 5, "sender": "a", "receiver": "b", "term": 1, "index": 4}
-    return PeerMessage(**{**whole, **fields})
+    """Return a valid message with some fields replaced."""
+    defaults = {"kind": 5, "sender": "a", "receiver": "b", "term": 1, "index": 4}
+    return PeerMessage(**{**defaults, **fields})
 
 
 @pytest.mark.parametrize(
@@ -233,21 +224,21 @@
         {"entries": [LogEntry(5, 1, 9, b"x")]},
         {"entries": [LogEntry(5, 1, 0, None)]},
         {"entries": [LogEntry(5, 1, 1, b"\xc1")]},
-        {"entries": [LogEntry(5, 1, 1, DEEP)]},
+        {"entries": [LogEntry(5, 1, 1, DEEPLY_NESTED)]},
         {"kind": 7},
         {"kind": 7, "entries": [LogEntry(4, 1, 0, b"x")]},
         {"kind": 7, "entries": [LogEntry(4, 1, 1, b"\xc1")]},
     ],
 )
-def test_a_message_that_the_core_cannot_take_is_refused(fields):
+def test_an_invalid_message_is_refused(fields):
     assert_refused("bad_request", from_wire, wire(**fields))
 
 
-def test_messages_of_every_kind_are_taken():
+def test_valid_messages_of_every_kind_are_accepted():
     entries = [LogEntry(5, 1, 0, b"x"), LogEntry(6, 1, 1, MEMBERS_PAYLOAD)]
-    whole = [wire(kind=int(kind)) for kind in MessageKind if kind != 7]
-    whole.append(wire(entries=entries))
-    whole.append(wire(kind=7, entries=[LogEntry(4, 1, 1, MEMBERS_PAYLOAD)]))
-    for message in whole:
-        taken = from_wire(message)
-        assert from_wire(to_wire(taken)) == taken
+    messages = [wire(kind=int(kind)) for kind in MessageKind if kind != 7]
+    messages.append(wire(entries=entries))
+    messages.append(wire(kind=7, entries=[LogEntry(4, 1, 1, MEMBERS_PAYLOAD)]))
+    for message in messages:
+        decoded = from_wire(message)
+        assert from_wire(to_wire(decoded)) == decoded
--- a/tests/test_snapshot_on_its_way.py
+++ b/tests/test_snapshot_on_its_way.py
@@ -1,12 +1,10 @@
-"""A group that has just lost two replicas, while one of the rest is far behind.
-
-Found by reading, while an outage was looked into in which nothing was served
-for 15 s and more after all machines were back; no play showed it. How it may
-come about: two of five disks are lost, so three replicas have to agree, and one
-of them lacks entries that the leader's log no longer holds. Shown here: while the
-whole state is on its way to a replica, the leader sends it nothing else, so
-it hears no leader and asks for an election, and the leader hears nothing from
-it and steps down; the next leader sends the whole state to everyone again.
+"""Consensus while a snapshot is in transit to a replica that is far behind.
+
+Guards against repeated elections in a group that needs this replica for its quorum,
+for example after the loss of two of five disks. If the leader sends the replica
+nothing else during the transfer, the replica receives no heartbeat and campaigns, and
+the leader receives no answer and steps down. The next leader then sends the snapshot
+to everyone again.
 """
 
 from types import SimpleNamespace
@@ -34,21 +32,21 @@
 from hingepitch.error import HingepitchError
 from hingepitch.httpd import wait_until
 
-#: How long a state of some megabytes may be on its way, in ticks.
-TICKS_ON_ITS_WAY = 30
+#: Ticks for which a snapshot of some megabytes may be in transit.
+TRANSIT_TICKS = 30
 
-#: The round after the pause that follows a failure.
-TICKS_UNTIL_SENT_AGAIN = 6
+#: Ticks until the round after the pause that follows a failure.
+TICKS_UNTIL_RESENT = 6
 
-#: How long the call with the whole state lasts, and the longest wait for it.
-STATE_SECONDS = 0.3
+#: Duration of the call with the snapshot, and the longest wait for it.
+TRANSFER_SECONDS = 0.3
 SECONDS = 8
 
 MEMBERS = tuple(Member(name, name, name, "h") for name in ("n0", "n1", "n2"))
 
 
 class Pair:
-    """Two of three voters: n0 with a short log, n1 without its beginning."""
+    """Two of three voters: the log of n0 starts behind the last entry of n1."""
 
     def __init__(self):
         entries = [Entry(101, 1, EntryKind.COMMAND, b"x")]
@@ -62,7 +60,7 @@
             self.step(self.leader, Tick())
 
     def step(self, core, event):
-        """Take one event; messages arrive at once, the state not at all."""
+        """Process one event; messages arrive at once, snapshots never arrive."""
         for action in core.step(event):
             if isinstance(action, SendSnapshot):
                 self.snapshots += 1
@@ -84,47 +82,47 @@
     return Pair()
 
 
-def test_a_leader_leads_on_while_the_state_is_on_its_way(pair):
+def test_a_leader_stays_leader_while_the_state_is_on_its_way(pair):
     term = pair.leader.term
-    for _ in range(TICKS_ON_ITS_WAY):
+    for _ in range(TRANSIT_TICKS):
         pair.tick()
         assert (pair.leader.role, pair.leader.term) == ("leader", term)
         assert pair.behind.leader == "n0"
 
 
-def test_the_state_is_sent_once_while_it_is_on_its_way(pair):
-    for _ in range(TICKS_ON_ITS_WAY):
+def test_the_snapshot_is_sent_once_while_it_is_in_transit(pair):
+    for _ in range(TRANSIT_TICKS):
         pair.tick()
     assert pair.snapshots == 1
 
 
-def test_a_state_that_surely_did_not_arrive_is_sent_again_soon(pair):
+def test_a_snapshot_that_was_not_delivered_is_sent_again_soon(pair):
     pair.step(pair.leader, SnapshotLost("n1", pair.leader.term))
-    for _ in range(TICKS_UNTIL_SENT_AGAIN):
+    for _ in range(TICKS_UNTIL_RESENT):
         pair.tick()
     assert pair.snapshots == 2
 
 
-def test_a_state_that_an_earlier_leadership_lost_is_not_sent_again(pair):
+def test_a_snapshot_that_was_lost_in_an_earlier_term_is_not_sent_again(pair):
     pair.step(pair.leader, SnapshotLost("n1", pair.leader.term - 1))
-    for _ in range(TICKS_UNTIL_SENT_AGAIN):
+    for _ in range(TICKS_UNTIL_RESENT):
         pair.tick()
     assert pair.snapshots == 1
 
 
-def test_a_replica_that_waits_for_the_state_costs_no_more_messages(pair):
+def test_a_replica_that_waits_for_the_snapshot_costs_no_more_messages(pair):
     sent = []
     deliver = pair.deliver
     pair.deliver = lambda message: (sent.append(message.kind), deliver(message))
-    for _ in range(TICKS_ON_ITS_WAY):
+    for _ in range(TRANSIT_TICKS):
         pair.tick()
     rounds = sent.count(MessageKind.APPEND)
-    assert 0 < rounds <= TICKS_ON_ITS_WAY
+    assert 0 < rounds <= TRANSIT_TICKS
     assert sent.count(MessageKind.APPEND_ANSWER) <= rounds
 
 
-class DeadReplica:
-    """A replica at which no call arrives."""
+class UnreachableReplica:
+    """Stub of a replica that no call reaches."""
 
     address = "127.0.0.1:1"
 
@@ -132,24 +130,24 @@
         raise HingepitchError("peer_unreachable", "refused")
 
 
-def test_a_link_tells_which_messages_surely_did_not_arrive():
+def test_a_link_reports_the_messages_that_were_not_delivered():
     links = PeerLinks("n0", "key")
     lost = []
     links.on_lost = lost.append
-    link = Link(DeadReplica())
+    link = Link(UnreachableReplica())
     sent = [Message(MessageKind.SNAPSHOT, "n0", "n1", term) for term in (1, 2)]
     link.messages.append(sent[1])
     links.deliver(link, sent[:1])
     assert lost == sent
 
 
-class WaitingReplica(DeadReplica):
-    """A replica that waits for its data folder."""
+class WaitingReplica(UnreachableReplica):
+    """Stub of a replica that waits for its data folder."""
 
     def __init__(self):
-        self.taken = []
+        self.received = []
         replica = SimpleNamespace(
-            is_open=False, unread="not open", receive=self.taken.append
+            is_open=False, unread="not open", receive=self.received.append
         )
         self.handler = ControlHandler(replica, None, None)
 
@@ -157,8 +155,9 @@
         return getattr(self.handler, method)(*arguments)
 
 
-# Guards against a state that is taken and dropped: it is not sent again for 5 s.
-def test_a_replica_that_waits_for_its_folder_takes_no_state():
+# Guards against a snapshot that is accepted and dropped: the leader does not send it
+# again for 5 s.
+def test_a_replica_that_waits_for_its_folder_accepts_no_snapshot():
     links = PeerLinks("n0", "key")
     lost = []
     links.on_lost = lost.append
@@ -166,22 +165,22 @@
     sent = [Message(MessageKind.SNAPSHOT, "n0", "n1", 1)]
     links.deliver(Link(waiting), sent)
     assert lost == sent
-    assert not waiting.taken
+    assert not waiting.received
 
 
-class SlowReplica(DeadReplica):
-    """A replica to which the whole state takes long."""
+class SlowReplica(UnreachableReplica):
+    """Stub of a replica to which a snapshot takes `TRANSFER_SECONDS`."""
 
     def __init__(self, arrived):
         self.arrived = arrived
 
     def call(self, method, messages):
-        is_state = messages[0].kind == MessageKind.SNAPSHOT
-        gevent.sleep(STATE_SECONDS if is_state else 0)
+        is_snapshot = messages[0].kind == MessageKind.SNAPSHOT
+        gevent.sleep(TRANSFER_SECONDS if is_snapshot else 0)
         self.arrived.append(MessageKind(messages[0].kind))
 
 
-def test_rounds_do_not_wait_behind_the_whole_state(monkeypatch):
+def test_append_rounds_do_not_wait_for_the_snapshot(monkeypatch):
     arrived = []
     monkeypatch.setattr(peer, "ControlClient", lambda *_: SlowReplica(arrived))
     links = PeerLinks("n0", "key")
@@ -191,7 +190,7 @@
     assert arrived == [MessageKind.APPEND, MessageKind.SNAPSHOT]
 
 
-def test_a_state_is_not_sent_again_before_its_receiver_answers(pair):
+def test_a_lost_snapshot_is_not_sent_again_before_its_receiver_answers(pair):
     pair.deliver = lambda message: None
     for _ in range(3):
         pair.step(pair.leader, SnapshotLost("n1", pair.leader.term))
--- a/tests/test_unable_replicas.py
+++ b/tests/test_unable_replicas.py
@@ -1,7 +1,8 @@
-"""A group of which a majority can store and vote, but not lead.
+"""A group in which a majority of the replicas can store and vote, but not lead.
 
-It comes with an upgrade: a command that only the later version reads is in the
-logs of the earlier ones, and what they hold may be ahead of the later ones.
+This happens during an upgrade: the logs of the replicas of the earlier version hold a
+command that only the later version can read, and these logs may be ahead of those of
+the later version.
 """
 
 import pytest
@@ -13,15 +14,15 @@
 STEPS = 1200
 LATER = b"later"
 
-#: Rounds in which every replica ticks about once; more than ten elections.
+#: Rounds of about one tick per replica, enough for more than ten elections.
 MANY_ROUNDS = 300
 
 
 class UpgradeDriver(Driver):
-    """Replicas of which the first ones cannot apply what begins with `LATER`.
+    """Driver whose first replicas cannot apply commands that begin with `LATER`.
 
     `unable`
-        How many are of the earlier version.
+        Number of replicas of the earlier version.
     """
 
     def __init__(self, seed, unable):
@@ -37,22 +38,22 @@
         before = len(node.applied)
         super().apply(node, index)
         if self.is_unable(node, node.applied[before:]):
-            self.unable_now.append(node)
+            self.newly_unable.append(node)
 
     def install(self, node, action):
         super().install(node, action)
         if self.is_unable(node, node.applied):
-            self.unable_now.append(node)
+            self.newly_unable.append(node)
 
     def is_unable(self, node, records):
-        """Whether a replica cannot read one of the records that it applied."""
+        """Whether a replica cannot read one of the records."""
         is_later = any(payload.startswith(LATER) for _, _, payload in records)
         return is_later and node.identity in self.earlier
 
     def step(self, node, event):
-        self.unable_now = []
+        self.newly_unable = []
         super().step(node, event)
-        for unable in self.unable_now:
+        for unable in self.newly_unable:
             super().step(unable, MayLead(False))
 
     def propose_later(self):
@@ -60,7 +61,7 @@
         self.step(self.pick(), Propose([LATER + b"%d" % self.tokens], [self.tokens]))
 
     def run(self, steps):
-        """Let the command that not all can read come at some time."""
+        """Run random events; propose commands of the later version at a random time."""
         before = self.random.randrange(steps // 2)
         super().run(before)
         for _ in range(40):
@@ -84,7 +85,7 @@
                 self.deliver()
 
     def serves(self):
-        """Heal everything; return whether a command is committed in time."""
+        """Remove all cuts; return whether more than 20 commands are committed in time."""
         self.blocked = set()
         known = len(self.committed)
         for _ in range(MANY_ROUNDS):
@@ -97,14 +98,14 @@
         return False
 
 
-# Guards against a group at rest: those that can lead lack what the others hold,
-# so nobody votes for them.
+# Guards against a group without a leader: the replicas that can lead lack entries
+# that the others hold, so no other replica votes for them.
 @pytest.mark.parametrize("unable", [1, 2, 3, 4])
 def test_a_group_serves_while_one_replica_can_lead(unable):
-    resting = []
+    idle_seeds = []
     for seed in range(150):
         driver = UpgradeDriver(seed, unable)
         driver.run(STEPS)
         if not driver.serves():
-            resting.append(seed)
-    assert not resting
+            idle_seeds.append(seed)
+    assert not idle_seeds
