--- a/tests/consensus_driver.py
+++ b/tests/consensus_driver.py
@@ -1,4 +1,4 @@
-"""Drives a few consensus cores over a network that loses and reorders."""
+"""Simulation of consensus cores over a network that loses and reorders messages."""
 
 import random
 
@@ -31,11 +31,11 @@
 
 
 class BrokenPromise(AssertionError):
-    """The checker saw something that must never happen."""
+    """The checker found a violated safety property."""
 
 
 class Disk:
-    """What one replica has made durable."""
+    """The durable data of one replica."""
 
     def __init__(self, members):
         self.term, self.vote = 0, ""
@@ -55,7 +55,11 @@
 
 
 class Node:
-    """One replica: its core, its disk and what it applied."""
+    """One replica: its core, its disk and the entries it applied.
+
+    `ahead`
+        Entries that a leader has handed to its disk and that are not durable yet.
+    """
 
     def __init__(self, identity, members):
         self.identity = identity
@@ -66,12 +70,12 @@
 
 
 class Driver:
-    """Runs random events; raises `BrokenPromise`.
+    """Runs random events; raises `BrokenPromise` if a safety property is violated.
 
     `fault`
-        A planted fault by name, or an empty string.
+        Name of a planted fault, or an empty string.
     `restarts`
-        How often replicas restart, against the other events.
+        Relative frequency of restarts among the events.
     """
 
     def __init__(self, seed, size, fault="", restarts=1):
@@ -94,8 +98,6 @@
         for node in self.nodes.values():
             self.restart(node)
 
-    # Events.
-
     def run(self, steps):
         choices = (
             [self.tick] * 30
@@ -105,7 +107,7 @@
             + [self.lose, self.duplicate]
             + [self.finish_write] * 12
             + [self.maybe_restart] * self.restarts
-            + [self.maybe_cut, self.maybe_compact]
+            + [self.maybe_partition, self.maybe_compact]
         )
         for _ in range(steps):
             self.random.choice(choices)()
@@ -141,13 +143,13 @@
         self.step(self.pick(), ReadRequest(self.tokens))
 
     def finish_write(self):
-        """Let the disk of a leader finish what it writes beside its work."""
+        """Let the background writes of a random replica become durable."""
         node = self.pick()
         if node.ahead:
             self.flush(node)
 
     def flush(self, node):
-        """Make durable what was written ahead, and tell the core."""
+        """Make the background writes durable and report that to the core."""
         last = node.ahead[-1][-1]
         for entries in node.ahead:
             node.disk.append(entries)
@@ -169,13 +171,13 @@
             node.core.log.term_at = lambda index: node.core.term
         node.applied = list(node.disk.snapshot[3])
 
-    def maybe_cut(self):
+    def maybe_partition(self):
         if self.random.random() < 0.2:
             self.blocked = set()
         elif self.random.random() < 0.3:
-            alone = self.pick().identity
-            self.blocked = {(alone, other) for other in self.nodes}
-            self.blocked |= {(other, alone) for other in self.nodes}
+            isolated = self.pick().identity
+            self.blocked = {(isolated, other) for other in self.nodes}
+            self.blocked |= {(other, isolated) for other in self.nodes}
 
     def maybe_compact(self):
         node = self.pick()
@@ -191,8 +193,6 @@
             node.disk.entries = [e for e in node.disk.entries if e.index > index]
             node.core.compact(index)
 
-    # Actions.
-
     def step(self, node, event):
         actions = node.core.step(event)
         follows = node.core.role != "leader"
@@ -267,8 +267,6 @@
         node.disk.snapshot = (action.index, action.term, node.core.members, applied)
         node.disk.entries = []
 
-    # The checker.
-
     def apply(self, node, index):
         for entry in node.core.log.after(len(node.applied), index - len(node.applied)):
             record = (entry.index, entry.term, entry.payload)
@@ -276,7 +274,9 @@
             if len(self.committed) < entry.index:
                 self.committed.append(record)
             elif self.committed[entry.index - 1] != record:
-                raise BrokenPromise(f"two histories at {entry.index}")
+                raise BrokenPromise(
+                    f"different entries committed at index {entry.index}"
+                )
             token = self.waiting.pop((entry.index, entry.term), None)
             if token is not None:
                 self.acknowledged.add(entry.index)
@@ -291,10 +291,10 @@
     def check_read(self, token, index):
         self.read_count += 1
         if index < self.reads[token]:
-            raise BrokenPromise("a read older than an acknowledged change")
+            raise BrokenPromise("a read that misses an acknowledged change")
 
     def settle(self):
-        """Heal everything; every acknowledged change must be there again."""
+        """Heal the network; check that each replica has all acknowledged changes."""
         self.blocked = set()
         for _ in range(4000):
             self.tick()
@@ -305,4 +305,4 @@
             if len(node.applied) < max(self.acknowledged, default=0):
                 raise BrokenPromise(f"{node.identity} lacks an acknowledged change")
             if node.applied != self.committed[: len(node.applied)]:
-                raise BrokenPromise(f"{node.identity} has another history")
+                raise BrokenPromise(f"{node.identity} has uncommitted entries")
--- a/tests/test_consensus.py
+++ b/tests/test_consensus.py
@@ -1,4 +1,4 @@
-"""The consensus core, by random histories and by planted faults."""
+"""The consensus core: random histories, single steps and planted faults."""
 
 import pytest
 from hypothesis import HealthCheck, given, settings, strategies
@@ -23,7 +23,7 @@
 STEPS = 3000
 SEEDS_FOR_FAULTS = 40
 
-#: Planted faults that random histories find.
+#: Planted faults that the checker must find in random histories.
 FAULTS = (
     "entries not synced",
     "counted before it is durable",
@@ -51,7 +51,7 @@
     assert driver.committed
 
 
-def test_random_histories_do_something():
+def test_random_histories_contain_commits_reads_and_elections():
     driver = Driver(7, 3)
     driver.run(STEPS)
     assert len(driver.acknowledged) > 20
@@ -69,14 +69,14 @@
 
 
 def race_two_candidates(fault):
-    """Let n0 and n1 ask n2 for its vote of one term, with a restart between."""
+    """Let n0 and n1 request the vote of n2 in one term; n2 restarts between them."""
     driver = Driver(1, 3, fault)
     nodes = driver.nodes
     for name in ("n0", "n1"):
         while nodes[name].core.role != "pre_candidate":
             driver.step(nodes[name], Tick())
-    pass_on(driver, MessageKind.PRE_VOTE, "n2")
-    pass_on(driver, MessageKind.PRE_VOTE_ANSWER)
+    deliver_all(driver, MessageKind.PRE_VOTE, "n2")
+    deliver_all(driver, MessageKind.PRE_VOTE_ANSWER)
     assert [nodes[name].core.role for name in ("n0", "n1")] == ["candidate"] * 2
     votes = [
         message
@@ -86,11 +86,11 @@
     for vote in votes:
         driver.step(nodes["n2"], Receive(vote))
         driver.restart(nodes["n2"])
-    pass_on(driver, MessageKind.VOTE_ANSWER)
+    deliver_all(driver, MessageKind.VOTE_ANSWER)
 
 
-def pass_on(driver, kind, receiver=""):
-    """Deliver the messages of one kind."""
+def deliver_all(driver, kind, receiver=""):
+    """Deliver the pending messages of one kind, optionally to one receiver only."""
     due = [
         message
         for message in driver.network
@@ -116,6 +116,7 @@
 
 
 def lead(core):
+    """Tick until the core is elected; all its vote requests are granted."""
     for _ in range(100):
         for action in core.step(Tick()):
             answer(core, action)
@@ -125,6 +126,7 @@
 
 
 def answer(core, action):
+    """Grant the vote that an action requests."""
     kinds = {
         MessageKind.PRE_VOTE: MessageKind.PRE_VOTE_ANSWER,
         MessageKind.VOTE: MessageKind.VOTE_ANSWER,
@@ -134,8 +136,8 @@
         vote = Message(
             kinds[sent.kind], sent.receiver, core.identity, sent.term, granted=True
         )
-        for following in core.step(Receive(vote)):
-            answer(core, following)
+        for next_action in core.step(Receive(vote)):
+            answer(core, next_action)
 
 
 def test_new_identity_never_campaigns():
@@ -146,6 +148,7 @@
 
 
 def ticks_until_campaign(core):
+    """Return the number of ticks until the core sends its first vote request."""
     for count in range(1, 20):
         actions = core.step(Tick())
         if any(isinstance(action, Send) for action in actions):
@@ -156,8 +159,8 @@
 def test_a_started_voter_campaigns_soon_until_it_has_heard_a_leader():
     core = make_core()
     assert ticks_until_campaign(core) <= 5
-    beat = Message(MessageKind.APPEND, "n1", "n0", term=3)
-    core.step(Receive(beat))
+    heartbeat = Message(MessageKind.APPEND, "n1", "n0", term=3)
+    core.step(Receive(heartbeat))
     assert ticks_until_campaign(core) >= 6
 
 
@@ -170,7 +173,7 @@
     assert saved and sent and saved[-1] < sent[0]
 
 
-def test_silent_leader_steps_down():
+def test_leader_without_answers_steps_down():
     core = make_core()
     lead(core)
     for _ in range(30):
@@ -178,7 +181,7 @@
     assert core.role != "leader"
 
 
-def test_member_that_is_behind_is_not_promoted():
+def test_learner_that_is_behind_is_not_promoted():
     core = make_core()
     lead(core)
     acknowledge(core)
@@ -199,7 +202,7 @@
 
 
 def acknowledge(core):
-    """Have every follower but learners acknowledge all entries."""
+    """Let every voter except the leader acknowledge all entries."""
     for name in ("n1", "n2"):
         core.step(
             Receive(
@@ -223,12 +226,12 @@
     entries = core.log.after(0, 10)
     assert entries[-1].kind is EntryKind.MEMBERS
     assert entries[-1].payload == encode_members(core.members[:2])
-    again = make_core(entries=entries)
-    assert again.voters == ["n0", "n1"]
+    restarted = make_core(entries=entries)
+    assert restarted.voters == ["n0", "n1"]
 
 
 def appends(actions):
-    """Return the entries sent to n1, one tuple a message."""
+    """Return the entries sent to n1, one tuple for each append message."""
     sent = [action.message for action in actions if isinstance(action, Send)]
     return [
         message.entries
@@ -237,7 +240,7 @@
     ]
 
 
-def test_many_refusals_bring_one_probe_without_entries():
+def test_many_refusals_cause_one_probe_without_entries():
     core = make_core()
     lead(core)
     core.step(Propose([b"payload"] * 20, [object()] * 20))
--- a/tests/test_healing.py
+++ b/tests/test_healing.py
@@ -1,4 +1,4 @@
-"""A group that keeps itself complete: single steps, and whole repairs."""
+"""Changes of a group's members: single steps and complete repairs."""
 
 from dataclasses import replace
 
@@ -30,45 +30,45 @@
 
 
 def repair(members, applicants, silent=()):
-    """Return the members after all steps; each changes one voter at most."""
+    """Return the members after all steps; each step may change at most one voter."""
     for _ in range(20):
         following = next_members(make_view(members, applicants, silent=silent))
         if following is None:
             return members
         assert len(set(voters(members)) ^ set(voters(following))) <= 1
         members = following
-    raise AssertionError("the group never settles")
+    raise AssertionError("the members do not converge")
 
 
-def test_three_founders_become_five_voters():
-    newcomers = [member(4, "c4~x", False), member(5, "c5~y", False)]
-    members = repair([member(n) for n in (1, 2, 3)], newcomers)
+def test_three_bootstrap_members_become_five_voters():
+    new_replicas = [member(4, "c4~x", False), member(5, "c5~y", False)]
+    members = repair([member(n) for n in (1, 2, 3)], new_replicas)
     assert voters(members) == ["c1", "c2", "c3", "c4~x", "c5~y"]
 
 
-def test_a_sixth_stays_a_learner():
+def test_a_sixth_replica_stays_a_learner():
     members = repair([member(n) for n in range(1, 6)], [member(6, "c6~z", False)])
     assert len(voters(members)) == 5
     assert len(members) == 6
 
 
 def test_replicas_that_lost_their_disks_are_replaced_by_their_new_identities():
-    newcomers = [member(2, "c2~x", False), member(3, "c3~y", False)]
-    members = repair([member(n) for n in range(1, 6)], newcomers)
+    new_replicas = [member(2, "c2~x", False), member(3, "c3~y", False)]
+    members = repair([member(n) for n in range(1, 6)], new_replicas)
     assert sorted(voters(members)) == ["c1", "c2~x", "c3~y", "c4", "c5"]
 
 
-def test_a_silent_voter_is_replaced_only_by_one_that_has_caught_up():
+def test_an_unresponsive_voter_is_replaced_only_by_a_learner_that_caught_up():
     five = [member(n) for n in range(1, 6)]
-    newcomer = member(6, "c6~z", False)
+    new_replica = member(6, "c6~z", False)
     assert next_members(make_view(five, silent=["c3"])) is None
-    learning = make_view([*five, newcomer], caught_up=["c2"], silent=["c3"])
+    learning = make_view([*five, new_replica], caught_up=["c2"], silent=["c3"])
     assert next_members(learning) is None
-    members = repair(five, [newcomer], silent=["c3"])
+    members = repair(five, [new_replica], silent=["c3"])
     assert voters(members) == ["c1", "c2", "c4", "c5", "c6~z"]
 
 
-def test_a_learner_that_is_behind_or_silent_is_not_promoted():
+def test_a_learner_that_is_behind_or_unresponsive_is_not_promoted():
     members = [member(1), member(2), member(3), member(4, voter=False)]
     assert next_members(make_view(members, caught_up=["c2", "c3"])) is None
     assert next_members(make_view(members, silent=["c4"])) is None
@@ -81,10 +81,10 @@
 
 @pytest.mark.parametrize("wanted", [3, 5])
 def test_no_more_voters_than_wanted(wanted):
-    newcomers = [member(n, f"c{n}~x", False) for n in range(4, 9)]
-    view = make_view([member(n) for n in (1, 2, 3)], newcomers, wanted=wanted)
+    new_replicas = [member(n, f"c{n}~x", False) for n in range(4, 9)]
+    view = make_view([member(n) for n in (1, 2, 3)], new_replicas, wanted=wanted)
     members = view.members
     for _ in range(20):
         following = next_members(replace(view, members=members))
         members = following or members
-    assert len(voters(members)) == 3  # Nobody new has caught up in this view.
+    assert len(voters(members)) == 3  # No new replica has caught up in this view.
--- a/tests/test_install_in_a_batch.py
+++ b/tests/test_install_in_a_batch.py
@@ -1,9 +1,8 @@
-"""A follower that handles an installed state together with what came around it.
+"""A follower that handles a snapshot in one step with other messages.
 
-Found by reading, while it was asked which data folder a control could not start
-from: a replica handles all messages that wait in one step. The whole state in the
-middle of them made the replica apply entries that nobody had committed, and write
-a snapshot with members that were in force only later.
+A replica handles all waiting messages in one step. A snapshot among them made the
+replica apply entries that were not committed, and write a snapshot with members that
+came into force only later.
 """
 
 import pytest
@@ -30,7 +29,7 @@
 FEWER = MEMBERS[:2]
 TERM = 3
 
-#: Index of the entry that is committed before the state comes, and of the state.
+#: Index of the last entry committed before the snapshot, and of the snapshot.
 COMMITTED = 4
 INSTALLED = 6
 
@@ -67,7 +66,7 @@
     )
 
 
-def state_message(replica, index=INSTALLED, members=MEMBERS):
+def snapshot_message(replica, index=INSTALLED, members=MEMBERS):
     return Message(
         MessageKind.SNAPSHOT,
         "c1",
@@ -86,14 +85,14 @@
     replica.handle_events()
 
 
-# Guards against: a replica that shows commands which may still be taken back.
-def test_nothing_uncommitted_is_applied_behind_an_installed_state(follower):
+# Guards against a replica that shows commands whose entries may still be replaced.
+def test_nothing_uncommitted_is_applied_after_an_installed_snapshot(follower):
     first = [pool_entry(index) for index in range(1, COMMITTED + 1)]
     later = [pool_entry(index) for index in range(INSTALLED + 1, INSTALLED + 9)]
     handle_together(
         follower,
         append(0, first, COMMITTED),
-        state_message(follower),
+        snapshot_message(follower),
         append(INSTALLED, later, INSTALLED),
     )
     assert follower.core.commit_index == INSTALLED
@@ -101,20 +100,20 @@
     assert not follower.state.by_kind["pool"]
 
 
-# Guards against: a replica that counts votes of members that were taken back.
-def test_an_installed_snapshot_has_the_members_of_its_place(follower):
+# Guards against a replica that counts votes of members whose entry was replaced.
+def test_an_installed_snapshot_has_the_members_of_its_index(follower):
     later = [members_entry(INSTALLED + 1, FEWER)]
     handle_together(
-        follower, state_message(follower), append(INSTALLED, later, INSTALLED)
+        follower, snapshot_message(follower), append(INSTALLED, later, INSTALLED)
     )
     assert follower.core.members == FEWER
     assert follower.storage.snapshot.members == MEMBERS
 
 
-# Guards against: an older state whose place the log has left in the same step.
-def test_two_states_in_one_step_leave_the_later_one(follower):
-    later = state_message(follower, INSTALLED + 5, FEWER)
-    handle_together(follower, state_message(follower), later)
+# Guards against an older snapshot whose index the log no longer has after the step.
+def test_the_later_of_two_snapshots_in_one_step_is_kept(follower):
+    later = snapshot_message(follower, INSTALLED + 5, FEWER)
+    handle_together(follower, snapshot_message(follower), later)
     assert follower.storage.snapshot.index == INSTALLED + 5
     assert follower.storage.snapshot.members == FEWER
     assert follower.applied_index == INSTALLED + 5
--- a/tests/test_peer_words.py
+++ b/tests/test_peer_words.py
@@ -1,10 +1,10 @@
 """Unreadable data from other processes: answers, addresses and messages.
 
 Guards against programs that end because of such data. An invalid address from another
-process raised ValueError in the client: it ended the greenlet that sends to that
-replica, which nothing restarts, and eight times the child that requests the members.
-An answer of another version (with a record of an unknown kind) had the same effect in
-entries and planners, as had a message without its term in the replica itself.
+process raised ValueError in the client. That ended the greenlet that sends to the
+replica, which nothing restarts, and made the child that requests the members fail
+eight times. An answer of another version (with a record of an unknown kind) had the
+same effect in entries and planners, as had a message without its term in the replica.
 """
 
 import random
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -1,12 +1,11 @@
-"""The incident: control programs that end at each start after a loss of power.
-
-Seen: three of five control programs ended with an uncaught decode error, each
-at another byte, at every start; without a quorum there was no leader, no
-configuration and no answer to jobs. How it came about: the power of all was
-lost during operator changes. Cause: the audit trail is written in pieces that
-no sync covers; a piece that was taken or torn in front of one that stayed was
-decoded as a line by the start. Proof: a disk that keeps what the syncs cover
-and leaves the rest to chance brings the same errors about.
+"""Control programs that fail at each start after a power loss.
+
+The audit trail is written in pieces that no sync covers. After a power loss during
+operator changes, a piece can be missing or torn in front of one that remained, and
+the start decoded it as a line: three of five control programs ended with an uncaught
+decode error at every start. Without a quorum there was no leader, no configuration
+and no answer to jobs. The simulated disk keeps what the syncs cover and leaves the
+rest to chance.
 """
 
 import pytest
@@ -26,28 +25,28 @@
         return made[-1]
 
     yield make
-    for one in made:
-        one.kill()
+    for replica in made:
+        replica.kill()
 
 
-def change_and_lose_power(one, losses):
+def change_and_lose_power(replica, losses):
     for _ in range(losses):
-        one.start()
+        replica.start()
         for _ in range(CHANGES):
-            one.relabel()
-        one.lose_power()
-    one.start()
+            replica.relabel()
+        replica.lose_power()
+    replica.start()
 
 
-def test_a_replica_starts_after_each_loss_of_power(make_replica):
+def test_a_replica_starts_after_each_power_loss(make_replica):
     for seed in SEEDS:
-        one = make_replica(seed)
-        change_and_lose_power(one, losses=3)
-        assert one.missing() == [], seed
+        replica = make_replica(seed)
+        change_and_lose_power(replica, losses=3)
+        assert replica.missing() == [], seed
 
 
-def test_the_audit_trail_shows_each_change_once_after_a_loss(make_replica):
+def test_the_audit_trail_shows_each_change_once_after_a_power_loss(make_replica):
     for seed in SEEDS:
-        one = make_replica(seed)
-        change_and_lose_power(one, losses=2)
-        assert one.audited() == [name for name, _ in one.acked], seed
+        replica = make_replica(seed)
+        change_and_lose_power(replica, losses=2)
+        assert replica.audited() == [name for name, _ in replica.acked], seed
--- a/tests/test_snapshot_on_its_way.py
+++ b/tests/test_snapshot_on_its_way.py
@@ -46,7 +46,7 @@
 
 
 class Pair:
-    """Two of three voters: the log of n0 starts behind the last entry of n1."""
+    """Two of three voters: the log of n0 starts after the last entry of n1."""
 
     def __init__(self):
         entries = [Entry(101, 1, EntryKind.COMMAND, b"x")]
--- a/tests/test_unable_replicas.py
+++ b/tests/test_unable_replicas.py
@@ -85,7 +85,7 @@
                 self.deliver()
 
     def serves(self):
-        """Remove all cuts; return whether more than 20 commands are committed in time."""
+        """End all cuts; return whether a replica leads and commits commands in time."""
         self.blocked = set()
         known = len(self.committed)
         for _ in range(MANY_ROUNDS):
--- a/tests/test_unread_entry.py
+++ b/tests/test_unread_entry.py
@@ -1,15 +1,14 @@
-"""A committed entry, or a state, that this version cannot read.
-
-It comes with an upgrade of one program after the other: a later version leads
-and puts a command into the log that the others do not know. Each of them failed
-at it, eight times within 30 s, and ended; so did each start after that. With the
-entry in all logs that is every program of the earlier version. A state that a
-later leader sends did the same, and could not even be read at the start.
-
-An entry of which nobody can tell what it changes must not be passed over. The
-replica keeps what it stores and goes on voting, for the others need its vote; it
-neither leads nor answers from a state that lacks an entry, and says so. Proof:
-each of these tests failed with the loop of the replica ended.
+"""A committed entry, or a snapshot, that this version cannot read.
+
+This happens when the programs are upgraded one after the other: a replica of a later
+version leads and appends a command that the others do not know. Each of these failed
+at the entry eight times within 30 s and ended, as did each later start. Once all logs
+held the entry, that was every program of the earlier version. A snapshot sent by
+a later leader had the same effect, and could not even be read at the start.
+
+An entry with an unknown effect must not be skipped. The replica keeps what it stores
+and goes on voting, because the others need its vote. It neither leads nor answers
+from a state that lacks an entry, and it reports the fault.
 """
 
 from types import SimpleNamespace
@@ -32,23 +31,23 @@
 
 SECONDS = 10
 
-#: Between two ticks, in seconds; a tick waits for replicas that are at work.
+#: Pause between two ticks, in seconds; a tick also waits for busy replicas.
 TICK_SECONDS = 0.002
 
-#: Ticks between two handovers; an election takes fewer.
+#: Ticks between two leadership transfers; an election takes fewer.
 TRANSFER_TICKS = 20
 
-#: Ticks in which a replica that could lead would: some election time-outs.
+#: Ticks in which a replica that can lead is elected: some election timeouts.
 MANY_TICKS = 60
 NAMES = ("a", "b", "c")
 MEMBERS = tuple(Member(name, name, f"127.0.0.1:{ord(name)}", "h") for name in NAMES)
 
-#: Begins the names of pools that only the later version knows.
+#: Prefix of the names of pools whose commands only the later version knows.
 LATER = "later"
 
 
 class EarlierReplica(Replica):
-    """A replica of a version that does not know every command."""
+    """Replica of an earlier version, which cannot read commands with `LATER`."""
 
     def apply_command(self, entry):
         if LATER.encode() in entry.payload:
@@ -57,7 +56,7 @@
 
 
 class Node:
-    """One replica with its loops."""
+    """One replica with its greenlets."""
 
     def __init__(self, group, name, kind):
         self.group = group
@@ -87,7 +86,7 @@
 
 
 class Group:
-    """Replicas that reach each other without a network; `members` found it."""
+    """Replicas that exchange messages in memory; `members` bootstrap the group."""
 
     def __init__(self, folder, kind_by_name, members):
         self.folder = folder
@@ -113,10 +112,10 @@
             self.node_by_name[address].replica.receive(message)
 
     def tick(self):
-        """Give every replica a tick, unless one is still at work.
+        """Give every replica a tick, unless one is still busy.
 
-        Time stands still meanwhile: beside load, a sync took longer than an
-        election time-out, and no leader lasted.
+        Time stops meanwhile: under load, a sync took longer than an election
+        timeout, and no leader stayed.
         """
         gevent.sleep(TICK_SECONDS)
         replicas = [node.replica for node in self.node_by_name.values()]
@@ -127,7 +126,7 @@
         self.ticks += 1
 
     def leader(self):
-        """Return the replica that leads and has committed all, or None."""
+        """Return the leader if it has committed its whole log, else None."""
         self.tick()
         for node in self.node_by_name.values():
             core = node.replica.core
@@ -139,7 +138,7 @@
         assert wait_until(lambda: self.tick() or condition(), SECONDS, 0)
 
     def lead(self, name):
-        """Have the replica `name` lead."""
+        """Transfer the leadership to the replica `name` and return it."""
         replica = self.node_by_name[name].replica
 
         def leads():
@@ -187,14 +186,14 @@
     leader.propose(put(f"{LATER}-1"))
     earlier = group.node_by_name["c"]
     group.wait(lambda: earlier.replica.unread)
-    # Its vote and its disk are needed from here on.
+    # From here on, a quorum needs the vote and the disk of c.
     group.stop("a")
     group.wait(lambda: group.leader() is group.node_by_name["b"].replica)
     group.node_by_name["b"].replica.propose(put("after"))
     assert earlier.is_running
     assert not earlier.replica.is_leader
     assert pools(earlier.replica) == {"first"}
-    # Alone with one that is behind it, it never serves, and hands on what it has.
+    # With only a, which lacks entries, c never leads but passes its entries on.
     group.stop("b")
     group.start("a")
     for _ in range(MANY_TICKS):
@@ -204,13 +203,13 @@
     everything = {"first", f"{LATER}-1", "after"}
     assert pools(group.node_by_name["a"].replica) == everything
     assert not earlier.replica.is_leader
-    # What it kept is read by the later version.
+    # The later version reads what c has kept.
     group.stop("c")
     group.start("c")
     assert pools(group.lead("c")) == everything
 
 
-def test_a_leader_that_cannot_read_what_it_committed_hands_over(make_group):
+def test_a_leader_that_cannot_read_a_committed_entry_hands_over(make_group):
     group = make_group(a=EarlierReplica, b=Replica, c=Replica)
     earlier = group.lead("a")
     with pytest.raises(HingepitchError) as caught:
@@ -223,7 +222,7 @@
         earlier.confirm()
 
 
-def test_a_replica_with_an_unread_entry_answers_nobody_who_follows_it(make_group):
+def test_a_replica_with_an_unread_entry_answers_no_reads(make_group):
     group = make_group(a=Replica, b=Replica, c=EarlierReplica)
     group.lead("a").propose(put(f"{LATER}-1"))
     earlier = group.node_by_name["c"].replica
@@ -236,7 +235,7 @@
         earlier.wait_applied(earlier.core.commit_index, SECONDS)
 
 
-def test_a_payload_that_is_no_command_ends_no_replica(make_group):
+def test_an_undecodable_payload_ends_no_replica(make_group):
     group = make_group(a=Replica, b=Replica, c=Replica)
     leader = group.lead("a")
     for payload in (b"\xc1", b"\x78\x9c", b"\x91" * 100_000):
@@ -246,7 +245,9 @@
     assert all(node.is_running for node in group.node_by_name.values())
 
 
-def test_a_rule_that_fails_ends_no_replica(make_group, monkeypatch):
+def test_a_rule_that_raises_an_unexpected_error_ends_no_replica(
+    make_group, monkeypatch
+):
     def fail(*_):
         raise ZeroDivisionError
 
@@ -279,13 +280,13 @@
 
 
 @pytest.mark.parametrize("state", STATES)
-def test_a_state_that_cannot_be_read_is_a_coded_error(state):
+def test_an_unreadable_snapshot_raises_a_coded_error(state):
     with pytest.raises(HingepitchError) as caught:
         State.from_snapshot(state)
     assert caught.value.code == "storage_unknown"
 
 
-def test_a_replica_keeps_a_state_that_it_cannot_read_and_votes(make_group):
+def test_a_replica_keeps_an_unreadable_snapshot_and_votes(make_group):
     group = make_group(a=Replica, b=Replica, c=Replica)
     leader = group.lead("a")
     leader.propose(put("first"))
@@ -300,7 +301,7 @@
     group.wait(lambda: earlier.replica.storage.snapshot.index == index)
     group.wait(lambda: earlier.replica.unread)
     assert earlier.is_running
-    # So it does after a start.
+    # The same holds after a restart.
     group.stop("c")
     group.start("c")
     earlier = group.node_by_name["c"]
