--- a/tests/consensus_driver.py
+++ b/tests/consensus_driver.py
@@ -57,7 +57,7 @@
 class Node:
     """One replica: its core, its disk and the entries it applied.
 
-    `ahead`
+    `unsynced`
         Entries that a leader has handed to its disk and that are not durable yet.
     """
 
@@ -66,7 +66,7 @@
         self.disk = Disk(members)
         self.core = None
         self.applied = []
-        self.ahead = []
+        self.unsynced = []
 
 
 class Driver:
@@ -99,12 +99,13 @@
             self.restart(node)
 
     def run(self, steps):
+        """Carry out `steps` random events."""
         choices = (
             [self.tick] * 30
             + [self.deliver] * 60
             + [self.propose] * 6
             + [self.read] * 4
-            + [self.lose, self.duplicate]
+            + [self.drop, self.duplicate]
             + [self.finish_write] * 12
             + [self.maybe_restart] * self.restarts
             + [self.maybe_partition, self.maybe_compact]
@@ -119,13 +120,14 @@
         self.step(self.pick(), Tick())
 
     def deliver(self):
+        """Deliver one of the six oldest messages, or drop it if its link is cut."""
         if self.network:
             at = self.random.randrange(min(len(self.network), 6))
             message = self.network.pop(at)
             if (message.sender, message.receiver) not in self.blocked:
                 self.step(self.nodes[message.receiver], Receive(message))
 
-    def lose(self):
+    def drop(self):
         if self.network:
             self.network.pop(self.random.randrange(len(self.network)))
 
@@ -138,6 +140,7 @@
         self.step(self.pick(), Propose([b"%d" % self.tokens], [self.tokens]))
 
     def read(self):
+        """Request a read; note the highest index acknowledged before it."""
         self.tokens += 1
         self.reads[self.tokens] = max(self.acknowledged, default=0)
         self.step(self.pick(), ReadRequest(self.tokens))
@@ -145,15 +148,15 @@
     def finish_write(self):
         """Let the background writes of a random replica become durable."""
         node = self.pick()
-        if node.ahead:
+        if node.unsynced:
             self.flush(node)
 
     def flush(self, node):
         """Make the background writes durable and report that to the core."""
-        last = node.ahead[-1][-1]
-        for entries in node.ahead:
+        last = node.unsynced[-1][-1]
+        for entries in node.unsynced:
             node.disk.append(entries)
-        node.ahead = []
+        node.unsynced = []
         self.step(node, Durable(last.index, last.term))
 
     def maybe_restart(self):
@@ -161,9 +164,10 @@
             self.restart(self.pick())
 
     def restart(self, node):
+        """Restart a replica from its disk; its background writes are lost."""
         if self.fault == "lost disk votes" and self.random.random() < 0.5:
             node.disk = Disk(node.disk.snapshot[2])
-        node.ahead = []
+        node.unsynced = []
         node.core = Consensus(
             node.disk.recovered(node.identity), f"{self.seed}/{node.identity}"
         )
@@ -172,6 +176,7 @@
         node.applied = list(node.disk.snapshot[3])
 
     def maybe_partition(self):
+        """Heal the network, or cut off one replica."""
         if self.random.random() < 0.2:
             self.blocked = set()
         elif self.random.random() < 0.3:
@@ -180,8 +185,9 @@
             self.blocked |= {(other, isolated) for other in self.nodes}
 
     def maybe_compact(self):
+        """Replace the applied log of a random replica by a snapshot."""
         node = self.pick()
-        if node.ahead:
+        if node.unsynced:
             self.flush(node)
         if len(node.applied) > 5:
             at = len(node.applied) - self.random.randrange(4)
@@ -203,12 +209,12 @@
             or (isinstance(action, Append) and not action.is_ahead)
             for action in actions
         )
-        if node.ahead and (follows or must_wait):
+        if node.unsynced and (follows or must_wait):
             self.flush(node)
         for action in actions:
-            self.act(node, action)
+            self.perform(node, action)
 
-    def act(self, node, action):
+    def perform(self, node, action):
         if isinstance(action, SaveVote):
             node.disk.term = action.term
             if self.fault != "vote not synced":
@@ -236,7 +242,7 @@
 
     def append(self, node, action):
         if action.is_ahead:
-            node.ahead.append(action.entries)
+            node.unsynced.append(action.entries)
             if self.fault == "counted before it is durable":
                 last = action.entries[-1]
                 self.step(node, Durable(last.index, last.term))
@@ -268,6 +274,7 @@
         node.disk.entries = []
 
     def apply(self, node, index):
+        """Apply committed entries; all replicas must apply the same ones."""
         for entry in node.core.log.after(len(node.applied), index - len(node.applied)):
             record = (entry.index, entry.term, entry.payload)
             node.applied.append(record)
@@ -282,6 +289,7 @@
                 self.acknowledged.add(entry.index)
 
     def check_role(self, node, action):
+        """Check that a term has one leader at most."""
         if action.role != "leader":
             return
         known = self.leader_by_term.setdefault(action.term, node.identity)
@@ -289,6 +297,7 @@
             raise BrokenPromise(f"two leaders in term {action.term}")
 
     def check_read(self, token, index):
+        """Check that a read sees all changes acknowledged before it."""
         self.read_count += 1
         if index < self.reads[token]:
             raise BrokenPromise("a read that misses an acknowledged change")
--- a/tests/test_peer_words.py
+++ b/tests/test_peer_words.py
@@ -115,7 +115,7 @@
 REPLY = b"\x80\x01\x00\x02\x00\x00\x00\x09challenge\x00\x00\x00\x00"
 EXCEPTION = b"\x80\x01\x00\x03\x00\x00\x00\x09challenge\x00\x00\x00\x00"
 
-#: Starts of its fields: none, a text, an invalid text, a structure, a whole text.
+#: Starts of its fields: none, a text, an invalid text, a structure, a valid text.
 FIELDS = (
     b"",
     b"\x0b\x00\x00",
--- a/tests/test_snapshot_on_its_way.py
+++ b/tests/test_snapshot_on_its_way.py
@@ -1,10 +1,10 @@
 """Consensus while a snapshot is in transit to a replica that is far behind.
 
-Guards against repeated elections in a group that needs this replica for its quorum,
-for example after the loss of two of five disks. If the leader sends the replica
-nothing else during the transfer, the replica receives no heartbeat and campaigns, and
-the leader receives no answer and steps down. The next leader then sends the snapshot
-to everyone again.
+Guards against repeated elections after the loss of two of five disks: three replicas
+have to agree, and one of them lacks entries that the leader's log no longer holds. If
+the leader sends it nothing else during the transfer, the replica receives no heartbeat
+and campaigns, and the leader receives no answer and steps down. The next leader then
+sends the snapshot to everyone again.
 """
 
 from types import SimpleNamespace
--- a/tests/test_unable_replicas.py
+++ b/tests/test_unable_replicas.py
@@ -85,7 +85,7 @@
                 self.deliver()
 
     def serves(self):
-        """End all cuts; return whether a replica leads and commits commands in time."""
+        """Heal the network; return whether enough commands are committed in time."""
         self.blocked = set()
         known = len(self.committed)
         for _ in range(MANY_ROUNDS):
