--- a/tests/test_duration.py
+++ b/tests/test_duration.py
@@ -96,16 +96,16 @@
 
 
 def test_a_leader_learns_from_the_runs_that_end():
-    rig = Rig(TaskMinion(task_seconds=0.2))
+    harness = Rig(TaskMinion(task_seconds=0.2))
     try:
-        rig.submit(Step(3, estimate_ms=10))
-        rig.wait_status(JobStatus.SUCCEEDED)
-        fits = rig.dispatcher.session.durations.fit_by_place
+        harness.submit(Step(3, estimate_ms=10))
+        harness.wait_status(JobStatus.SUCCEEDED)
+        fits = harness.dispatcher.session.durations.fit_by_place
         assert wait_until(lambda: fits, SECONDS)
         (fit,) = fits.values()
         assert fit.weight == pytest.approx(1.0, rel=0.02)
     finally:
-        rig.close()
+        harness.close()
 
 
 def test_a_job_is_late_only_beyond_the_error_of_its_expected_run_time():
--- a/tests/test_load_backlog.py
+++ b/tests/test_load_backlog.py
@@ -80,10 +80,10 @@
         return plan_starts(table, outlook)
 
     monkeypatch.setattr(session_module, "plan_starts", long_pass)
-    rig = Rig(TaskMinion(task_seconds=0.05))
+    harness = Rig(TaskMinion(task_seconds=0.05))
     try:
-        rig.submit(Step(1))
+        harness.submit(Step(1))
         assert wait_until(lambda: clock_offset[0] > 0, SECONDS)
-        assert rig.dispatcher.session.gather_seconds >= LONG_PASS_SECONDS
+        assert harness.dispatcher.session.gather_seconds >= LONG_PASS_SECONDS
     finally:
-        rig.close()
+        harness.close()
--- a/tests/test_mover.py
+++ b/tests/test_mover.py
@@ -49,7 +49,7 @@
 
 
 @pytest.fixture
-def rig():
+def harness():
     made = Rig(TaskMinion(), TaskMinion())
     queue = Queue("q", HOST, "/q/", "pool", timeout_ms=1)
     pools = (QueuePool("pool"), QueuePool("off", is_spare=True))
@@ -64,10 +64,10 @@
     monkeypatch.setattr(demand_module, "LEARNING_SECONDS", 0.0)
 
 
-def start_moves(rig, api):
+def start_moves(harness, api):
     """Start the moves of the session through `api`; return their controller."""
-    rig.log.table.has_had_work = True
-    session = rig.dispatcher.session
+    harness.log.table.has_had_work = True
+    session = harness.dispatcher.session
     session.mover = MoveDesk(session, api, TERMS, MOVE_SECONDS)
     session.spawn(session.mover.run)
     return session.mover
@@ -86,78 +86,80 @@
     assert wait_until(lambda: len(made) >= count, SECONDS)
 
 
-def test_an_idle_vm_moves_to_the_spare_pool_and_its_incarnation_ends(rig):
+def test_an_idle_vm_moves_to_the_spare_pool_and_its_incarnation_ends(harness):
     api = FleetApi({"vm-0": "pool", "vm-1": "pool"})
-    controller = start_moves(rig, api)
-    assert wait_until(lambda: len(rig.log.table.minion_by_id) == 1, SECONDS)
+    controller = start_moves(harness, api)
+    assert wait_until(lambda: len(harness.log.table.minion_by_id) == 1, SECONDS)
     assert [pool for _, pool, _ in api.moves] == ["off"]
-    assert not rig.log.table.move_by_vm
+    assert not harness.log.table.move_by_vm
     wait_for_decisions(controller)
-    assert len(rig.log.table.minion_by_id) == 1
+    assert len(harness.log.table.minion_by_id) == 1
 
 
-def test_jobs_accepted_under_earlier_leaders_are_not_arrivals(rig):
+def test_jobs_accepted_under_earlier_leaders_are_not_arrivals(harness):
     for number in range(9):
-        rig.log.submit(Step(4, estimate_ms=900), job=f"{number:016x}")
-    session = rig.dispatcher.session
+        harness.log.submit(Step(4, estimate_ms=900), job=f"{number:016x}")
+    session = harness.dispatcher.session
     controller = MoveDesk(session, FleetApi({}), TERMS, MOVE_SECONDS)
     controller.demand.note_arrivals(lease_seconds())
     assert not controller.demand.rate_by_pool
     for number in range(9, 12):
-        rig.log.submit(Step(4, 500, estimate_ms=900), job=f"{number:016x}")
+        harness.log.submit(Step(4, 500, estimate_ms=900), job=f"{number:016x}")
     controller.demand.note_arrivals(lease_seconds())
     assert controller.demand.arriving("pool", lease_seconds()) > 0
 
 
-def test_a_leader_learns_the_demand_before_it_gives_vms_back(rig, monkeypatch):
+def test_a_leader_learns_the_demand_before_it_gives_vms_back(harness, monkeypatch):
     monkeypatch.setattr(demand_module, "LEARNING_SECONDS", 1.5)
     api = FleetApi({"vm-0": "pool", "vm-1": "pool"})
-    controller = start_moves(rig, api)
+    controller = start_moves(harness, api)
     assert wait_until(lambda: controller.demand.worked_since is not None, SECONDS)
     since = controller.demand.worked_since
     assert wait_until(lambda: api.moves, SECONDS)
     assert lease_seconds() - since > 1.5
 
 
-def test_a_vm_with_runs_is_never_moved(rig):
-    rig.submit(Step(2, lasts=True, max_per_minion=1))
-    assert wait_until(lambda: len(rig.log.table.run_by_task) == 2, SECONDS)
+def test_a_vm_with_runs_is_never_moved(harness):
+    harness.submit(Step(2, lasts=True, max_per_minion=1))
+    assert wait_until(lambda: len(harness.log.table.run_by_task) == 2, SECONDS)
     api = FleetApi({})
-    wait_for_decisions(start_moves(rig, api))
+    wait_for_decisions(start_moves(harness, api))
     assert not api.moves
-    assert rig.log.send(commands.BeginMove("vm-0", "off")) == "not_drained"
+    assert harness.log.send(commands.BeginMove("vm-0", "off")) == "not_drained"
 
 
-def test_a_vm_that_is_moving_gets_no_run(rig):
-    rig.log.send(commands.BeginMove("vm-0", "off"))
-    rig.log.submit(Step(1))
-    assert rig.log.start(task(), minion=rig.minions[0].life) == [False]
-    rig.log.send(commands.EndMove("vm-0"))
-    assert rig.log.start(task(), minion=rig.minions[0].life) == [True]
+def test_a_vm_that_is_moving_gets_no_run(harness):
+    harness.log.send(commands.BeginMove("vm-0", "off"))
+    harness.log.submit(Step(1))
+    assert harness.log.start(task(), minion=harness.minions[0].life) == [False]
+    harness.log.send(commands.EndMove("vm-0"))
+    assert harness.log.start(task(), minion=harness.minions[0].life) == [True]
 
 
-def test_tasks_without_free_capacity_bring_a_spare_vm(rig):
+def test_tasks_without_free_capacity_bring_a_spare_vm(harness):
     api = FleetApi({"vm-9": "off"})
-    start_moves(rig, api)
-    rig.submit(Step(3, cpu_millicores=9000, lasts=True))
+    start_moves(harness, api)
+    harness.submit(Step(3, cpu_millicores=9000, lasts=True))
     assert wait_until(lambda: ("vm-9", "pool", FleetReply.DONE) in api.moves, SECONDS)
 
 
-def test_fragmented_free_memory_brings_a_spare_vm(rig):
+def test_fragmented_free_memory_brings_a_spare_vm(harness):
     api = FleetApi({"vm-9": "off"})
-    rig.submit(Step(2, memory_mb=3000, lasts=True))
-    assert wait_until(lambda: len(rig.log.table.run_by_task) == 2, SECONDS)
-    rig.log.submit(Step(1, memory_mb=1500), job="00000000000000bb")
-    start_moves(rig, api)
+    harness.submit(Step(2, memory_mb=3000, lasts=True))
+    assert wait_until(lambda: len(harness.log.table.run_by_task) == 2, SECONDS)
+    harness.log.submit(Step(1, memory_mb=1500), job="00000000000000bb")
+    start_moves(harness, api)
     assert wait_until(lambda: api.moves, SECONDS)
     assert api.moves[0][:2] == ("vm-9", "pool")
 
 
-def test_an_unanswered_move_is_retried_and_the_vm_gets_no_other_order(rig, monkeypatch):
+def test_an_unanswered_move_is_retried_and_the_vm_gets_no_other_order(
+    harness, monkeypatch
+):
     monkeypatch.setattr(mover_module, "UNSURE_SECONDS", 1.0)
     api = FleetApi({"vm-0": "pool", "vm-1": "pool"})
     api.replies = [FleetReply.UNSURE, FleetReply.TOO_MANY]
-    controller = start_moves(rig, api)
+    controller = start_moves(harness, api)
     assert wait_until(lambda: len(api.moves) == 3, SECONDS)
     assert len({(vm, pool) for vm, pool, _ in api.moves}) == 1
     vm = api.moves[0][0]
@@ -168,70 +170,70 @@
     )
 
 
-def test_a_new_leader_resumes_a_move_that_was_begun(rig):
-    rig.log.send(commands.BeginMove("vm-0", "off"))
+def test_a_new_leader_resumes_a_move_that_was_begun(harness):
+    harness.log.send(commands.BeginMove("vm-0", "off"))
     api = FleetApi({"vm-0": "pool"})
-    start_moves(rig, api)
+    start_moves(harness, api)
     assert wait_until(lambda: api.moves, SECONDS)
     assert api.moves[0][:2] == ("vm-0", "off")
-    assert wait_until(lambda: not rig.log.table.move_by_vm, SECONDS)
-    assert "vm-0" not in rig.log.table.life_by_vm
+    assert wait_until(lambda: not harness.log.table.move_by_vm, SECONDS)
+    assert "vm-0" not in harness.log.table.life_by_vm
 
 
-def test_a_refused_pair_of_kind_and_pool_is_not_tried_again(rig):
+def test_a_refused_pair_of_kind_and_pool_is_not_tried_again(harness):
     api = FleetApi({"vm-8": "off", "vm-9": "off"})
     api.replies = [FleetReply.UNKNOWN_VM] * 5
-    controller = start_moves(rig, api)
-    rig.submit(Step(3, cpu_millicores=9000, lasts=True))
+    controller = start_moves(harness, api)
+    harness.submit(Step(3, cpu_millicores=9000, lasts=True))
     assert wait_until(lambda: api.moves, SECONDS)
     wait_for_decisions(controller)
     assert len([vm for vm, pool, _ in api.moves if pool == "pool"]) <= 2
 
 
-def test_an_unknown_vm_does_not_exclude_others_of_its_kind(rig):
+def test_an_unknown_vm_does_not_exclude_others_of_its_kind(harness):
     api = FleetApi({"vm-8": "off", "vm-9": "off"})
     api.replies = [FleetReply.UNKNOWN_VM]
-    controller = start_moves(rig, api)
+    controller = start_moves(harness, api)
     assert wait_until(lambda: controller.spare_vms, SECONDS)
-    rig.submit(Step(3, cpu_millicores=9000, lasts=True))
+    harness.submit(Step(3, cpu_millicores=9000, lasts=True))
     assert wait_until(lambda: len(api.moves) >= 2, 3), "no other VM is tried"
     assert api.moves[0][0] != api.moves[1][0]
 
 
-def test_a_moved_vm_that_never_registers_is_replaced_by_another(rig, monkeypatch):
+def test_a_moved_vm_that_never_registers_is_replaced_by_another(harness, monkeypatch):
     api = FleetApi({"vm-8": "off", "vm-9": "off"})
-    controller = start_moves(rig, api)
-    monkeypatch.setattr(type(rig.dispatcher.session), "silence_seconds", 0.3)
-    rig.submit(Step(3, cpu_millicores=9000, lasts=True))
+    controller = start_moves(harness, api)
+    monkeypatch.setattr(type(harness.dispatcher.session), "silence_seconds", 0.3)
+    harness.submit(Step(3, cpu_millicores=9000, lasts=True))
     assert wait_until(lambda: len(api.moves) >= 2, 4), "no other VM is taken"
     assert controller.incoming("pool") <= 1
     assert {pool for _, pool, _ in api.moves} == {"pool"}
 
 
-def test_the_registration_of_a_new_incarnation_ends_the_move(rig):
-    rig.log.send(commands.BeginMove("vm-0", "pool"))
+def test_the_registration_of_a_new_incarnation_ends_the_move(harness):
+    harness.log.send(commands.BeginMove("vm-0", "pool"))
     fresh = make_minion(0, id="i-fresh")
-    rig.log.send(commands.RegisterMinion(fresh, 0))
-    assert not rig.log.table.move_by_vm
+    harness.log.send(commands.RegisterMinion(fresh, 0))
+    assert not harness.log.table.move_by_vm
 
 
-def test_a_vm_is_not_moved_back_before_it_has_reached_the_spare_pool(rig):
+def test_a_vm_is_not_moved_back_before_it_has_reached_the_spare_pool(harness):
     api = FleetApi({"vm-0": "pool", "vm-1": "pool"})
-    controller = start_moves(rig, api)
+    controller = start_moves(harness, api)
     assert wait_until(lambda: controller.spare_vms, SECONDS)
     given_at = lease_seconds()
-    rig.submit(Step(3, cpu_millicores=9000, lasts=True))
+    harness.submit(Step(3, cpu_millicores=9000, lasts=True))
     assert wait_until(lambda: len(api.moves) == 2, SECONDS)
     assert lease_seconds() - given_at > 0.7 * MOVE_SECONDS
     assert [pool for _, pool, _ in api.moves] == ["off", "pool"]
 
 
-def test_a_move_that_was_refused_as_busy_is_retried_soon(rig, monkeypatch):
+def test_a_move_that_was_refused_as_busy_is_retried_soon(harness, monkeypatch):
     monkeypatch.setattr(mover_module, "LIST_SECONDS", 60.0)
     api = FleetApi({"vm-9": "off"})
     api.replies = [FleetReply.BUSY, FleetReply.BUSY]
-    start_moves(rig, api)
-    rig.submit(Step(3, cpu_millicores=9000, lasts=True))
+    start_moves(harness, api)
+    harness.submit(Step(3, cpu_millicores=9000, lasts=True))
     assert wait_until(lambda: len(api.moves) >= 3, 3)
     assert api.moves[:3] == [
         ("vm-9", "pool", FleetReply.BUSY),
@@ -240,23 +242,23 @@
     ]
 
 
-def test_a_spare_vm_that_the_platform_lists_as_moving_stays_known(rig):
-    controller = MoveDesk(rig.dispatcher.session, FleetApi({}), TERMS, MOVE_SECONDS)
+def test_a_spare_vm_that_the_platform_lists_as_moving_stays_known(harness):
+    controller = MoveDesk(harness.dispatcher.session, FleetApi({}), TERMS, MOVE_SECONDS)
     controller.spare_vms = {"vm-8": "off", "vm-9": "off"}
     controller.hold("vm-8", MOVE_SECONDS)
     controller.take_list([VmRow("vm-8", "off", VmState.MOVING, "h", "", "a")])
     assert controller.spare_vms == {"vm-8": "off"}
 
 
-def test_a_pool_that_lost_all_its_minions_wants_its_floor(rig):
-    session = rig.dispatcher.session
+def test_a_pool_that_lost_all_its_minions_wants_its_floor(harness):
+    session = harness.dispatcher.session
     controller = MoveDesk(session, FleetApi({}), TERMS, MOVE_SECONDS)
     now = lease_seconds()
     nothing = PoolLoad()
     assert controller.demand.wanted("pool", nothing, now) == 0, (
         "no batch job was accepted yet"
     )
-    rig.log.table.has_had_work = True
+    harness.log.table.has_had_work = True
     assert not controller.demand.is_known(now)
     assert controller.demand.wanted("pool", nothing, now + 1) == TERMS.floor
 
@@ -264,19 +266,19 @@
 # Guards against two runs of a task at once: an earlier leader had carried out the
 # move already, and the answer to the repeated order ended the incarnation that
 # the move had started, while its runs went on.
-def test_a_completed_move_ordered_again_ends_no_life_that_came_by_it(rig):
+def test_a_completed_move_ordered_again_ends_no_life_that_came_by_it(harness):
     api = FleetApi({"vm-0": "pool", "vm-1": "pool"})
-    session = rig.dispatcher.session
+    session = harness.dispatcher.session
     controller = MoveDesk(session, api, TERMS, MOVE_SECONDS)
-    rig.log.send(commands.BeginMove("vm-0", "pool"))
+    harness.log.send(commands.BeginMove("vm-0", "pool"))
     successor = TaskMinion()
     record = make_minion(
         0, id=successor.life, address=successor.address, cpu_millicores=16_000
     )
     controller.call_once_at_a_time("vm-0", "pool")
     # The new incarnation is registered before the order is sent.
-    rig.log.send(commands.RegisterMinion(record, 0))
-    rig.replica.wake()
+    harness.log.send(commands.RegisterMinion(record, 0))
+    harness.replica.wake()
     assert wait_until(lambda: not controller.calling, SECONDS)
-    assert successor.life in rig.log.table.minion_by_id
+    assert successor.life in harness.log.table.minion_by_id
     successor.close()
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -54,43 +54,43 @@
 
 
 @pytest.fixture
-def advised_rig():
+def advised_harness():
     minions = [TaskMinion(task_seconds=0.05), TaskMinion(task_seconds=0.05)]
-    rig = Rig(*minions)
+    harness = Rig(*minions)
     advice = AdviceTerms(0, 0, int(MARGIN_SECONDS * 1000) + 1000)
     queue = Queue("q", HOST, "/q/", "pool", timeout_ms=1, attempts=1, advice=advice)
-    rig.log.send(commands.PutQueues(make_config(2, queues=(queue,))))
-    assert wait_until(lambda: rig.dispatcher.session is not None, SECONDS)
-    yield rig
-    rig.close()
+    harness.log.send(commands.PutQueues(make_config(2, queues=(queue,))))
+    assert wait_until(lambda: harness.dispatcher.session is not None, SECONDS)
+    yield harness
+    harness.close()
 
 
-def advise(rig, adviser):
-    session = rig.dispatcher.session
+def advise(harness, adviser):
+    session = harness.dispatcher.session
     session.permissions = PermissionDesk(session, adviser)
     session.spawn(session.permissions.run)
 
 
-def test_only_permitted_minions_run_a_step_and_they_get_the_ticket(advised_rig):
-    good, other = advised_rig.minions
-    advise(advised_rig, Adviser(good.life))
-    advised_rig.submit(Step(3))
-    advised_rig.wait_status(JobStatus.SUCCEEDED)
+def test_only_permitted_minions_run_a_step_and_they_get_the_ticket(advised_harness):
+    good, other = advised_harness.minions
+    advise(advised_harness, Adviser(good.life))
+    advised_harness.submit(Step(3))
+    advised_harness.wait_status(JobStatus.SUCCEEDED)
     assert not other.starts
     assert {body["ticket"] for _, _, body in good.starts} == {f"ticket-{good.life}"}
 
 
-def test_without_a_permission_no_task_starts(advised_rig):
+def test_without_a_permission_no_task_starts(advised_harness):
     adviser = Adviser()
     adviser.is_unresponsive = True
-    advise(advised_rig, adviser)
-    advised_rig.submit(Step(1))
+    advise(advised_harness, adviser)
+    advised_harness.submit(Step(1))
     assert wait_until(lambda: len(adviser.calls) > 1, SECONDS)
     gevent.sleep(0.2)
-    assert not any(minion.starts for minion in advised_rig.minions)
+    assert not any(minion.starts for minion in advised_harness.minions)
     adviser.is_unresponsive = False
-    adviser.good = [minion.life for minion in advised_rig.minions]
-    advised_rig.wait_status(JobStatus.SUCCEEDED)
+    adviser.good = [minion.life for minion in advised_harness.minions]
+    advised_harness.wait_status(JobStatus.SUCCEEDED)
     assert adviser.calls[0][0] == (JOB, 0, 0)
 
 
@@ -113,51 +113,51 @@
     return not has_ended
 
 
-def test_a_pool_without_minions_does_not_block_the_leader(advised_rig, monkeypatch):
-    for minion in advised_rig.minions:
-        advised_rig.log.send(commands.RemoveMinion(minion.life, 0))
-    advised_rig.log.submit(Step(1))
-    controller = PermissionDesk(advised_rig.dispatcher.session, Adviser())
+def test_a_pool_without_minions_does_not_block_the_leader(advised_harness, monkeypatch):
+    for minion in advised_harness.minions:
+        advised_harness.log.send(commands.RemoveMinion(minion.life, 0))
+    advised_harness.log.submit(Step(1))
+    controller = PermissionDesk(advised_harness.dispatcher.session, Adviser())
     assert yields_in_time(controller, monkeypatch)
 
 
-def test_permission_is_requested_for_a_new_minion_beside_full_ones(advised_rig):
-    first = advised_rig.minions[0]
+def test_permission_is_requested_for_a_new_minion_beside_full_ones(advised_harness):
+    first = advised_harness.minions[0]
     fresh = make_minion(7, cpu_millicores=16_000)
     controller = PermissionDesk(
-        advised_rig.dispatcher.session, Adviser(first.life, fresh.id)
+        advised_harness.dispatcher.session, Adviser(first.life, fresh.id)
     )
-    advised_rig.log.submit(Step(2, max_per_minion=1))
+    advised_harness.log.submit(Step(2, max_per_minion=1))
     key = (JOB, 0, 0)
     controller.ask(key)
     assert controller.permitted(key) == {first.life}
-    advised_rig.log.start(TaskKey(*key, 0), minion=first.life)
-    advised_rig.log.send(commands.RegisterMinion(fresh, 0))
+    advised_harness.log.start(TaskKey(*key, 0), minion=first.life)
+    advised_harness.log.send(commands.RegisterMinion(fresh, 0))
     assert controller.needs_call(key), "the permitted minion has max_per_minion tasks"
     controller.ask(key)
     assert controller.permitted(key) == {first.life, fresh.id}
 
 
-def test_a_permission_for_a_removed_incarnation_does_not_count(advised_rig):
-    first, second = advised_rig.minions
+def test_a_permission_for_a_removed_incarnation_does_not_count(advised_harness):
+    first, second = advised_harness.minions
     adviser = Adviser(first.life)
-    controller = PermissionDesk(advised_rig.dispatcher.session, adviser)
-    advised_rig.log.submit(Step(1))
+    controller = PermissionDesk(advised_harness.dispatcher.session, adviser)
+    advised_harness.log.submit(Step(1))
     key = (JOB, 0, 0)
     controller.ask(key)
     assert not controller.needs_call(key)
-    advised_rig.log.send(commands.RemoveMinion(first.life, 0))
+    advised_harness.log.send(commands.RemoveMinion(first.life, 0))
     assert controller.needs_call(key)
 
 
-def test_permission_is_requested_for_more_minions_than_one_call_holds(advised_rig):
+def test_permission_is_requested_for_more_minions_than_one_call_holds(advised_harness):
     lives = [f"i-{number}" for number in range(100, 100 + 2 * MINIONS_IN_CALL)]
     for number, life in enumerate(lives, 100):
         minion = make_minion(number, id=life)
-        advised_rig.log.send(commands.RegisterMinion(minion, 0))
+        advised_harness.log.send(commands.RegisterMinion(minion, 0))
     adviser = Adviser(lives[-1])
-    controller = PermissionDesk(advised_rig.dispatcher.session, adviser)
-    advised_rig.log.submit(Step(1))
+    controller = PermissionDesk(advised_harness.dispatcher.session, adviser)
+    advised_harness.log.submit(Step(1))
     key = (JOB, 0, 0)
     for _ in range(3):
         if controller.needs_call(key):
@@ -176,11 +176,11 @@
         assert self.passes < 1000, "the loop does not yield"
 
 
-def test_a_step_whose_pool_is_empty_does_not_block_the_process(advised_rig):
-    for minion in advised_rig.minions:
-        advised_rig.log.send(commands.RemoveMinion(minion.life, 0))
-    advised_rig.submit(Step(1))
-    controller = CountingController(advised_rig.dispatcher.session, Adviser())
+def test_a_step_whose_pool_is_empty_does_not_block_the_process(advised_harness):
+    for minion in advised_harness.minions:
+        advised_harness.log.send(commands.RemoveMinion(minion.life, 0))
+    advised_harness.submit(Step(1))
+    controller = CountingController(advised_harness.dispatcher.session, Adviser())
     asking = gevent.spawn(controller.run)
     assert wait_until(lambda: controller.passes > 2, SECONDS)
     assert not asking.dead
--- a/tests/test_waiting_beside_room.py
+++ b/tests/test_waiting_beside_room.py
@@ -150,23 +150,23 @@
 
 
 def test_a_leader_tracks_how_long_a_step_waits_for_its_rack():
-    rig = Rig(TaskMinion(task_seconds=0.5), TaskMinion(task_seconds=0.5))
+    harness = Rig(TaskMinion(task_seconds=0.5), TaskMinion(task_seconds=0.5))
     try:
-        rig.submit(Step(2, cpu_millicores=16_000))
-        assert wait_until(lambda: len(rig.log.table.run_by_task) == 2, SECONDS)
-        session = rig.dispatcher.session
+        harness.submit(Step(2, cpu_millicores=16_000))
+        assert wait_until(lambda: len(harness.log.table.run_by_task) == 2, SECONDS)
+        session = harness.dispatcher.session
         late = Step(2, cpu_millicores=16_000, estimate_ms=9000, same_rack=True)
-        rig.log.submit(late, job=OTHER)
+        harness.log.submit(late, job=OTHER)
         key = (OTHER, 0, 0)
         first = session.outlook().rack_waited_ms_by_step[key]
         assert wait_until(
             lambda: session.outlook().rack_waited_ms_by_step.get(key, 0) > first,
             SECONDS,
         )
-        assert wait_until(lambda: key not in rig.log.table.ready_steps, SECONDS)
+        assert wait_until(lambda: key not in harness.log.table.ready_steps, SECONDS)
         assert not session.outlook().rack_waited_ms_by_step
     finally:
-        rig.close()
+        harness.close()
 
 
 class Platform:
@@ -181,19 +181,19 @@
 
 def test_a_task_whose_vm_is_lost_while_a_wave_drains_it_runs_elsewhere():
     minions = (TaskMinion(), TaskMinion())
-    rig = Rig(*minions)
+    harness = Rig(*minions)
     try:
-        rig.submit(Step(1, lasts=True))
-        assert wait_until(lambda: rig.dispatcher.session is not None, SECONDS)
-        session = rig.dispatcher.session
+        harness.submit(Step(1, lasts=True))
+        assert wait_until(lambda: harness.dispatcher.session is not None, SECONDS)
+        session = harness.dispatcher.session
         assert wait_until(lambda: session.watch.is_at_work(task()), SECONDS)
         lost, free = sorted(minions, key=lambda one: not one.running)
-        vm = rig.log.table.minion_by_id[lost.life].vm
+        vm = harness.log.table.minion_by_id[lost.life].vm
         lost.faults.looks += ["dropped"] * 1000
         lost.faults.stops += ["dropped"] * 1000
         session.upkeep = UpkeepDesk(session, Platform(), 0.4)
         session.spawn(session.upkeep.run)
-        rig.log.send(commands.PutWave(1, (vm,), 1, wall_ms() + 20_000))
+        harness.log.send(commands.PutWave(1, (vm,), 1, wall_ms() + 20_000))
         assert wait_until(lambda: free.starts, 2 * SECONDS)
     finally:
-        rig.close()
+        harness.close()
