--- a/hingepitch/jobs/duration.py
+++ b/hingepitch/jobs/duration.py
@@ -150,30 +150,30 @@
     jobs as late that are not, and would size pools by noise. A new leader
     starts without observations and learns within a dozen jobs of a queue.
 
-    `fit_by_place`
+    `fit_by_route`
         The `Fit` of each queue, by the queue's place.
     """
 
     def __init__(self):
-        self.fit_by_place = {}
+        self.fit_by_route = {}
 
     def note(self, route, step, took_ms):
         """Record how long one task of `step` ran, from its start to its end."""
         if step.lasts or step.estimate_ms <= 0 or took_ms <= 0:
             return
-        fit = self.fit_by_place.setdefault(route, Fit())
+        fit = self.fit_by_route.setdefault(route, Fit())
         fit.note(step.estimate_ms, took_ms, 1 / step.count)
 
     def expected_ms(self, route, step):
         """Return the expected run time of a task of `step`, in milliseconds."""
-        fit = self.fit_by_place.get(route)
+        fit = self.fit_by_route.get(route)
         if fit is None or step.estimate_ms <= 0:
             return step.estimate_ms
         return fit.expected_ms(step.estimate_ms)
 
     def error(self, route):
         """Return the standard error of the logarithm of a queue's expected times."""
-        fit = self.fit_by_place.get(route)
+        fit = self.fit_by_route.get(route)
         return fit.error() if fit is not None else INITIAL_ERROR
 
     def queue_estimator(self, route):
--- a/tests/consensus_driver.py
+++ b/tests/consensus_driver.py
@@ -1,4 +1,4 @@
-"""Drives a few consensus cores over a network that loses and reorders."""
+"""Simulation of consensus cores over a network that loses and reorders messages."""
 
 import random
 
@@ -30,12 +30,12 @@
 )
 
 
-class BrokenPromise(AssertionError):
-    """The checker saw something that must never happen."""
+class InvariantViolation(AssertionError):
+    """The checker found a violated safety property."""
 
 
 class Disk:
-    """What one replica has made durable."""
+    """The durable data of one replica."""
 
     def __init__(self, members):
         self.term, self.vote = 0, ""
@@ -55,23 +55,27 @@
 
 
 class Node:
-    """One replica: its core, its disk and what it applied."""
+    """One replica: its core, its disk and the entries it applied.
+
+    `unsynced`
+        Entries that a leader has handed to its disk and that are not durable yet.
+    """
 
     def __init__(self, identity, members):
         self.identity = identity
         self.disk = Disk(members)
         self.core = None
         self.applied = []
-        self.ahead = []
+        self.unsynced = []
 
 
 class Driver:
-    """Runs random events; raises `BrokenPromise`.
+    """Runs random events; raises `InvariantViolation` if a safety property is violated.
 
     `fault`
-        A planted fault by name, or an empty string.
+        Name of a planted fault, or an empty string.
     `restarts`
-        How often replicas restart, against the other events.
+        Relative frequency of restarts among the events.
     """
 
     def __init__(self, seed, size, fault="", restarts=1):
@@ -94,18 +98,17 @@
         for node in self.nodes.values():
             self.restart(node)
 
-    # Events.
-
     def run(self, steps):
+        """Carry out `steps` random events."""
         choices = (
             [self.tick] * 30
             + [self.deliver] * 60
             + [self.propose] * 6
             + [self.read] * 4
-            + [self.lose, self.duplicate]
+            + [self.drop, self.duplicate]
             + [self.finish_write] * 12
             + [self.maybe_restart] * self.restarts
-            + [self.maybe_cut, self.maybe_compact]
+            + [self.maybe_partition, self.maybe_compact]
         )
         for _ in range(steps):
             self.random.choice(choices)()
@@ -117,13 +120,14 @@
         self.step(self.pick(), Tick())
 
     def deliver(self):
+        """Deliver one of the six oldest messages, or drop it if its link is cut."""
         if self.network:
             at = self.random.randrange(min(len(self.network), 6))
             message = self.network.pop(at)
             if (message.sender, message.receiver) not in self.blocked:
                 self.step(self.nodes[message.receiver], Receive(message))
 
-    def lose(self):
+    def drop(self):
         if self.network:
             self.network.pop(self.random.randrange(len(self.network)))
 
@@ -136,22 +140,23 @@
         self.step(self.pick(), Propose([b"%d" % self.tokens], [self.tokens]))
 
     def read(self):
+        """Request a read; note the highest index acknowledged before it."""
         self.tokens += 1
         self.reads[self.tokens] = max(self.acknowledged, default=0)
         self.step(self.pick(), ReadRequest(self.tokens))
 
     def finish_write(self):
-        """Let the disk of a leader finish what it writes beside its work."""
+        """Let the background writes of a random replica become durable."""
         node = self.pick()
-        if node.ahead:
+        if node.unsynced:
             self.flush(node)
 
     def flush(self, node):
-        """Make durable what was written ahead, and tell the core."""
-        last = node.ahead[-1][-1]
-        for entries in node.ahead:
+        """Make the background writes durable and report that to the core."""
+        last = node.unsynced[-1][-1]
+        for entries in node.unsynced:
             node.disk.append(entries)
-        node.ahead = []
+        node.unsynced = []
         self.step(node, Durable(last.index, last.term))
 
     def maybe_restart(self):
@@ -159,9 +164,10 @@
             self.restart(self.pick())
 
     def restart(self, node):
+        """Restart a replica from its disk; its background writes are lost."""
         if self.fault == "lost disk votes" and self.random.random() < 0.5:
             node.disk = Disk(node.disk.snapshot[2])
-        node.ahead = []
+        node.unsynced = []
         node.core = Consensus(
             node.disk.recovered(node.identity), f"{self.seed}/{node.identity}"
         )
@@ -169,17 +175,19 @@
             node.core.log.term_at = lambda index: node.core.term
         node.applied = list(node.disk.snapshot[3])
 
-    def maybe_cut(self):
+    def maybe_partition(self):
+        """Heal the network, or cut off one replica."""
         if self.random.random() < 0.2:
             self.blocked = set()
         elif self.random.random() < 0.3:
-            alone = self.pick().identity
-            self.blocked = {(alone, other) for other in self.nodes}
-            self.blocked |= {(other, alone) for other in self.nodes}
+            isolated = self.pick().identity
+            self.blocked = {(isolated, other) for other in self.nodes}
+            self.blocked |= {(other, isolated) for other in self.nodes}
 
     def maybe_compact(self):
+        """Replace the applied log of a random replica by a snapshot."""
         node = self.pick()
-        if node.ahead:
+        if node.unsynced:
             self.flush(node)
         if len(node.applied) > 5:
             at = len(node.applied) - self.random.randrange(4)
@@ -191,8 +199,6 @@
             node.disk.entries = [e for e in node.disk.entries if e.index > index]
             node.core.compact(index)
 
-    # Actions.
-
     def step(self, node, event):
         actions = node.core.step(event)
         follows = node.core.role != "leader"
@@ -203,12 +209,12 @@
             or (isinstance(action, Append) and not action.is_async)
             for action in actions
         )
-        if node.ahead and (follows or must_wait):
+        if node.unsynced and (follows or must_wait):
             self.flush(node)
         for action in actions:
-            self.act(node, action)
+            self.perform(node, action)
 
-    def act(self, node, action):
+    def perform(self, node, action):
         if isinstance(action, SaveVote):
             node.disk.term = action.term
             if self.fault != "vote not synced":
@@ -236,7 +242,7 @@
 
     def append(self, node, action):
         if action.is_async:
-            node.ahead.append(action.entries)
+            node.unsynced.append(action.entries)
             if self.fault == "counted before it is durable":
                 last = action.entries[-1]
                 self.step(node, Durable(last.index, last.term))
@@ -267,34 +273,37 @@
         node.disk.snapshot = (action.index, action.term, node.core.members, applied)
         node.disk.entries = []
 
-    # The checker.
-
     def apply(self, node, index):
+        """Apply committed entries; all replicas must apply the same ones."""
         for entry in node.core.log.after(len(node.applied), index - len(node.applied)):
             record = (entry.index, entry.term, entry.payload)
             node.applied.append(record)
             if len(self.committed) < entry.index:
                 self.committed.append(record)
             elif self.committed[entry.index - 1] != record:
-                raise BrokenPromise(f"two histories at {entry.index}")
+                raise InvariantViolation(
+                    f"different entries committed at index {entry.index}"
+                )
             token = self.waiting.pop((entry.index, entry.term), None)
             if token is not None:
                 self.acknowledged.add(entry.index)
 
     def check_role(self, node, action):
+        """Check that a term has one leader at most."""
         if action.role != "leader":
             return
         known = self.leader_by_term.setdefault(action.term, node.identity)
         if known != node.identity:
-            raise BrokenPromise(f"two leaders in term {action.term}")
+            raise InvariantViolation(f"two leaders in term {action.term}")
 
     def check_read(self, token, index):
+        """Check that a read sees all changes acknowledged before it."""
         self.read_count += 1
         if index < self.reads[token]:
-            raise BrokenPromise("a read older than an acknowledged change")
+            raise InvariantViolation("a read that misses an acknowledged change")
 
     def settle(self):
-        """Heal everything; every acknowledged change must be there again."""
+        """Heal the network; check that each replica has all acknowledged changes."""
         self.blocked = set()
         for _ in range(4000):
             self.tick()
@@ -303,6 +312,8 @@
                 self.deliver()
         for node in self.nodes.values():
             if len(node.applied) < max(self.acknowledged, default=0):
-                raise BrokenPromise(f"{node.identity} lacks an acknowledged change")
+                raise InvariantViolation(
+                    f"{node.identity} lacks an acknowledged change"
+                )
             if node.applied != self.committed[: len(node.applied)]:
-                raise BrokenPromise(f"{node.identity} has another history")
+                raise InvariantViolation(f"{node.identity} has uncommitted entries")
--- a/tests/fleet_driver.py
+++ b/tests/fleet_driver.py
@@ -18,7 +18,7 @@
 HALLS = 4
 
 
-class BrokenPromise(AssertionError):
+class InvariantViolation(AssertionError):
     """The checker saw something that must never happen."""
 
 
@@ -48,7 +48,7 @@
 
 
 class FleetDriver:
-    """Runs random events; raises `BrokenPromise`.
+    """Runs random events; raises `InvariantViolation`.
 
     `decide`
         The state machine; tests replace it by a faulty one.
@@ -261,29 +261,29 @@
             service = self.state.get("service", name)
             grew = down > down_before.get(name, 0)
             if grew and down > service.max_down and not isinstance(command, excused):
-                raise BrokenPromise(f"budget of {name} after {command}")
+                raise InvariantViolation(f"budget of {name} after {command}")
         permits = self.state.by_kind["permit"]
         for vm in self.state.by_kind["vm"].values():
             if (
                 vm.life in (VmLifecycle.LEAVING, VmLifecycle.DRAINED)
                 and vm.name not in permits
             ):
-                raise BrokenPromise(f"{vm.name} is down without a permit")
+                raise InvariantViolation(f"{vm.name} is down without a permit")
 
     def check_pools(self):
         seen = [name for vms in self.state.vms_by_pool.values() for name in vms]
         if sorted(seen) != sorted(self.state.by_kind["vm"]):
-            raise BrokenPromise("a VM is not in exactly one pool")
+            raise InvariantViolation("a VM is not in exactly one pool")
 
     def check_jobs(self):
         for name, jobs in self.state.jobs_by_vm.items():
             vm = self.state.get("vm", name)
             if sum(job.cores for job in jobs.values()) > vm.cores:
-                raise BrokenPromise(f"{name} carries too much")
+                raise InvariantViolation(f"{name} carries too much")
         for team in self.state.by_kind["team"].values():
             placed = self.state.jobs_by_team[team.name].values()
             if sum(job.cores for job in placed) > team.quota_cores:
-                raise BrokenPromise(f"quota of {team.name}")
+                raise InvariantViolation(f"quota of {team.name}")
 
     def settle(self):
         """End all trouble; every VM under a budget must get maintained."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -13,7 +13,7 @@
 from hingepitch.planner.placement import VmQuarantine, plan_jobs
 from hingepitch.planner.view import PlatformView, PlatformVm, Task, TaskState
 from hingepitch.planner.wave import plan_wave
-from tests.fleet_driver import BrokenPromise, FleetDriver
+from tests.fleet_driver import FleetDriver, InvariantViolation
 
 STEPS = 250
 
@@ -46,7 +46,7 @@
     for module in (apply_module, *RULES):
         if hasattr(module, check):
             monkeypatch.setattr(module, check, lambda *arguments: None)
-    with pytest.raises(BrokenPromise):
+    with pytest.raises(InvariantViolation):
         for seed in range(40):
             driver = FleetDriver(seed)
             driver.run(STEPS)
@@ -56,7 +56,7 @@
 
 def raise_if_stale_fence_passed(driver):
     if "stale_fence" not in driver.refusals:
-        raise BrokenPromise("a planner without the lease was obeyed")
+        raise InvariantViolation("a planner without the lease was obeyed")
 
 
 def test_same_log_gives_same_state():
