--- a/tests/data/make_earlier.py
+++ b/tests/data/make_earlier.py
@@ -14,7 +14,7 @@
 from hingepitch.control import audit as audit_module
 from hingepitch.control.audit import AuditRecord, AuditTrail
 from hingepitch.control.message import Entry, EntryKind, Member
-from hingepitch.control.storage import Snapshot, Storage, bootstrap_folder
+from hingepitch.control.storage import Snapshot, Storage, found_folder
 
 OUT = Path(__file__).parent / "earlier"
 MEMBERS = (Member("c1", "c1", "127.0.0.1:1", "h1"),)
@@ -93,7 +93,7 @@
 def make(name, write):
     """Make one folder; return what is recovered from it."""
     folder = OUT / name
-    bootstrap_folder(folder, "c1", MEMBERS)
+    found_folder(folder, "c1", MEMBERS)
     storage, audit = Storage(folder, "c1"), AuditTrail(folder)
     storage.open()
     audit.open()
