--- a/hingepitch/model/apply.py
+++ b/hingepitch/model/apply.py
@@ -83,7 +83,7 @@
 def check_role(envelope):
     """Refuse a command that the role of the sender may not send."""
     if type(envelope.command) not in COMMANDS_BY_ROLE[envelope.role]:
-        raise Refusal("forbidden", f"not allowed for role {envelope.role.value}")
+        raise Refusal("forbidden", f"not a command of {envelope.role.value}")
 
 
 def check_fence(state, envelope):
@@ -94,7 +94,7 @@
         return
     lease = state.get("planner_lease", "planner")
     if lease is None or lease.fence != envelope.fence:
-        raise Refusal("stale_fence", f"fence {envelope.fence} is not the current one")
+        raise Refusal("stale_fence", f"fence {envelope.fence} is not the last")
 
 
 def check_version(state, envelope):
--- a/hingepitch/model/explain.py
+++ b/hingepitch/model/explain.py
@@ -30,9 +30,9 @@
 def vm_obstacles(state, job, vm):
     """Yield each reason why `job` may not run on `vm` now."""
     if vm.life is not VmLifecycle.LIVE:
-        yield f"the VM is {vm.life.value}"
+        yield f"VM {vm.life.value}"
     if not matches(job.selector, vm.labels):
-        yield "selector: no match"
+        yield "selector"
     jobs = state.jobs_by_vm[vm.name].values()
     for size in ("cores", "memory_gb", "accelerators"):
         if getattr(job, size) > getattr(vm, size):
@@ -40,7 +40,7 @@
         elif sum(getattr(other, size) for other in jobs) + getattr(job, size) > getattr(
             vm, size
         ):
-            yield f"{size}: not enough free"
+            yield f"{size}: taken"
 
 
 def job_obstacles(state, job):
--- a/hingepitch/model/rule.py
+++ b/hingepitch/model/rule.py
@@ -36,7 +36,7 @@
 
     Returns the claim or planner lease that the command stored, else None.
     """
-    raise Refusal("bad_request", f"unknown command: {type(command).__name__}")
+    raise Refusal("bad_request", f"no such command: {type(command).__name__}")
 
 
 def require(state, kind, name, partner=None):
--- a/hingepitch/model/rules/claim.py
+++ b/hingepitch/model/rules/claim.py
@@ -45,7 +45,7 @@
     claim = state.get("claim", key)
     if claim is None:
         if len(state.by_kind["claim"]) >= REFUSE_CLAIMS_ABOVE:
-            raise Refusal("queue_full", "too many claims are stored")
+            raise Refusal("queue_full", "too many claims are kept")
         fresh = Claim(
             service=command.service,
             key=command.key,
@@ -55,13 +55,13 @@
         )
         return state.put("claim", key, fresh, index)
     if claim.digest != command.digest:
-        raise Refusal("key_reused", "the key was used with another request")
+        raise Refusal("key_reused", "the key was used with another body")
     if claim.state is ClaimState.ANSWERED:
-        raise Refusal("key_in_progress", "the request is already answered", claim)
+        raise Refusal("key_in_progress", "answered", claim)
     age_seconds = state.now_seconds - claim.at_seconds
     if age_seconds * 1000 > service.deadline_ms + CLAIM_GRACE_SECONDS * 1000:
-        raise Refusal("key_unknown", f"claimed by entry {claim.entry}", claim)
-    raise Refusal("key_in_progress", f"claimed by entry {claim.entry}", claim)
+        raise Refusal("key_unknown", f"claimed by {claim.entry}", claim)
+    raise Refusal("key_in_progress", f"claimed by {claim.entry}", claim)
 
 
 def require_open_claim(state, command):
@@ -71,7 +71,7 @@
     if claim is None or claim.version != command.claim_version:
         raise Refusal("unknown_object", f"no claim {key}")
     if claim.state is not ClaimState.OPEN:
-        raise Refusal("key_in_progress", "the claim is already answered")
+        raise Refusal("key_in_progress", "answered already")
     return key, claim
 
 
--- a/hingepitch/model/rules/declaration.py
+++ b/hingepitch/model/rules/declaration.py
@@ -49,7 +49,7 @@
     for service in state.services_of(after):
         joins = service.name not in carried
         if joins and state.count_down(service) + 1 > service.max_down:
-            raise Refusal("budget_spent", f"no budget left for service {service.name}")
+            raise Refusal("budget_spent", f"service {service.name}")
 
 
 @apply_command.register
--- a/hingepitch/model/rules/job.py
+++ b/hingepitch/model/rules/job.py
@@ -40,7 +40,7 @@
     require(state, "pool", command.pool, envelope.partner)
     parse_selector(command.selector)
     if state.get("job", command.name) is not None:
-        raise Refusal("bad_object", f"job {command.name} already exists")
+        raise Refusal("bad_object", f"job {command.name} exists")
     job = Job(partner=team.partner, **asdict(command))
     state.put("job", job.name, job, index)
 
@@ -83,7 +83,7 @@
         jobs = state.jobs_by_vm[vm.name].values()
         taken = sum(getattr(other, size) for other in jobs)
         if taken + getattr(job, size) > getattr(vm, size):
-            raise Refusal("no_room", f"{size}: not enough free on VM {vm.name}")
+            raise Refusal("no_room", f"{size} of VM {vm.name}")
 
 
 def check_quota(state, job):
@@ -93,9 +93,7 @@
         jobs = state.jobs_by_team[job.team].values()
         taken = sum(getattr(other, size) for other in jobs)
         if taken + getattr(job, size) > getattr(team, f"quota_{size}"):
-            raise Refusal(
-                "quota_spent", f"{size}: not enough quota left for team {team.name}"
-            )
+            raise Refusal("quota_spent", f"{size} of team {team.name}")
 
 
 @apply_command.register
--- a/hingepitch/model/rules/maintenance.py
+++ b/hingepitch/model/rules/maintenance.py
@@ -37,7 +37,7 @@
     expires = state.now_seconds + command.seconds
     if lease is not None and lease.holder != command.holder:
         if state.now_seconds < lease.expires_at_seconds:
-            raise Refusal("lease_held", f"held by {lease.holder}")
+            raise Refusal("lease_held", f"by {lease.holder}")
         lease = None
     if lease is not None and lease.fence == envelope.fence:
         renewed = replace(lease, expires_at_seconds=expires)
@@ -65,11 +65,9 @@
     if to_pool.name == from_pool.name:
         raise Refusal("wrong_pool", f"VM {vm.name} is already in {to_pool.name}")
     if not from_pool.gives or not matches(from_pool.gives, vm.labels):
-        raise Refusal(
-            "not_selected", f"pool {from_pool.name} does not give this VM away"
-        )
+        raise Refusal("not_selected", f"pool {from_pool.name} does not give it")
     if not to_pool.selector or not matches(to_pool.selector, vm.labels):
-        raise Refusal("not_selected", f"pool {to_pool.name} does not take this VM")
+        raise Refusal("not_selected", f"pool {to_pool.name} does not take it")
     moving_out = sum(
         1
         for name in state.down_by_pool[from_pool.name]
@@ -100,7 +98,7 @@
     permit = require(state, "permit", command.vm)
     check_lifecycle(vm, VmLifecycle.DRAINED, VmLifecycle.LOST)
     if permit.boot_id == command.boot_id:
-        raise Refusal("wrong_boot", f"VM {vm.name} has not rebooted yet")
+        raise Refusal("wrong_boot", f"VM {vm.name} has not booted anew")
     returned = replace(
         vm,
         life=VmLifecycle.LIVE,
@@ -119,9 +117,7 @@
     if vm.pool != command.from_pool:
         raise Refusal("wrong_pool", f"VM {vm.name} is in {vm.pool}")
     if not is_moving(permit) or permit.to_pool != command.to_pool:
-        raise Refusal(
-            "wrong_pool", f"the permit is not for a move to {command.to_pool}"
-        )
+        raise Refusal("wrong_pool", f"the permit is not for {command.to_pool}")
     require(state, "pool", command.to_pool)
     state.drop("permit", vm.name, index)
     moved = replace(vm, pool=command.to_pool, life=VmLifecycle.LIVE)
