--- a/tests/fleet_driver.py
+++ b/tests/fleet_driver.py
@@ -1,4 +1,4 @@
-"""A random fleet under the real state machine and the real plan functions."""
+"""Drives a random fleet with the real state machine and planning functions."""
 
 import random
 from dataclasses import replace
@@ -19,11 +19,11 @@
 
 
 class BrokenPromise(AssertionError):
-    """The checker saw something that must never happen."""
+    """An invariant of the fleet is violated."""
 
 
 class FakePlatform:
-    """VMs that reboot at once, and are lost and found."""
+    """A platform whose VMs reboot at once, fail and recover."""
 
     def __init__(self):
         self.vm_by_name = {}
@@ -48,10 +48,14 @@
 
 
 class FleetDriver:
-    """Runs random events; raises `BrokenPromise`.
+    """Runs random events and checks the invariants after each command.
+
+    Raises `BrokenPromise` when an invariant is violated.
 
     `decide`
-        The state machine; tests replace it by a faulty one.
+        The state machine's function that applies a command.
+    `copy`
+        The planner's copy of the state.
     """
 
     def __init__(self, seed, decide=apply):
@@ -69,7 +73,7 @@
         self.refusals = []
         self.build()
 
-    def do(self, command, role=Role.OPERATOR, partner="", fence=0):
+    def execute(self, command, role=Role.OPERATOR, partner="", fence=0):
         self.index += 1
         down_before = self.down_by_service()
         envelope = Envelope(
@@ -85,13 +89,13 @@
         for partner in PARTNERS:
             for number in range(2):
                 pool = commands.PutPool(f"{partner}-{number}", "", "spare=yes")
-                self.do(pool, partner=partner)
+                self.execute(pool, partner=partner)
             for number in range(12):
                 self.add_vm(partner, number)
             for number in range(3):
                 self.put_service(partner, number)
-            self.do(commands.PutTeam(f"{partner}-team", 40, 4), partner=partner)
-            self.do(commands.PutCampaign(f"{partner}-c"), partner=partner)
+            self.execute(commands.PutTeam(f"{partner}-team", 40, 4), partner=partner)
+            self.execute(commands.PutCampaign(f"{partner}-c"), partner=partner)
 
     def add_vm(self, partner, number):
         name = f"{partner[0]}{number}"
@@ -106,7 +110,7 @@
             cores=8,
             memory_gb=8,
         )
-        self.do(vm, partner=partner)
+        self.execute(vm, partner=partner)
 
     def labels(self):
         labels = {"tier": self.random.choice("abc")}
@@ -123,23 +127,26 @@
             selector,
             max_down=self.random.randint(0, 3),
         )
-        self.do(service, partner=partner)
-
-    # Random events.
+        self.execute(service, partner=partner)
 
     def run(self, steps):
         events = (
             [self.plan] * 12
-            + [self.lose, self.find, self.relabel, self.change_service]
-            + [self.other_planner, self.submit, self.rogue, self.change_pool]
+            + [self.lose_vm, self.recover_vms, self.relabel, self.change_service]
+            + [
+                self.propose_with_wrong_fence,
+                self.submit,
+                self.propose_random_command,
+                self.change_pool,
+            ]
         )
         for _ in range(steps):
             self.now += 1
             self.random.choice(events)()
 
     def plan(self):
-        """One pass of the planner, cut off at a random step."""
-        lease = self.do(commands.TakePlannerLease("p1", 5), Role.PLANNER, "", 0)
+        """Run one pass of the planner that stops at a random step."""
+        lease = self.execute(commands.TakePlannerLease("p1", 5), Role.PLANNER, "", 0)
         if not lease.accepted:
             return
         self.fence = lease.fence
@@ -159,7 +166,7 @@
             self.carry_out(step)
 
     def apply_changes(self, view):
-        """Bring the planner's copy up to date, as the planner does."""
+        """Update the planner's copy of the state, as the planner does."""
         version, full, changes = self.state.changes_since("planning", self.copy.version)
         self.scope.is_full |= full
         for change in changes:
@@ -170,19 +177,19 @@
 
     def carry_out(self, step):
         if isinstance(step, Propose):
-            self.do(step.command, Role.PLANNER, fence=self.fence)
+            self.execute(step.command, Role.PLANNER, fence=self.fence)
         elif isinstance(step, CheckDrained):
-            self.do(commands.MarkDrained(step.vm), Role.PLANNER, fence=self.fence)
+            self.execute(commands.MarkDrained(step.vm), Role.PLANNER, fence=self.fence)
         elif isinstance(step, Reboot):
             self.platform.reboot(step.vm, step.request_id)
 
     def pick_vm(self):
         return self.random.choice(list(self.state.by_kind["vm"].values()))
 
-    def lose(self):
+    def lose_vm(self):
         self.platform.set_healthy(self.pick_vm().name, False)
 
-    def find(self):
+    def recover_vms(self):
         for name in self.platform.vm_by_name:
             if self.random.random() < 0.5:
                 self.platform.set_healthy(name, True)
@@ -192,7 +199,7 @@
         command = commands.PutVm(
             vm.name, vm.pool, vm.hall, vm.rack, vm.ip, self.labels(), 8, 8
         )
-        self.do(command, partner=vm.partner)
+        self.execute(command, partner=vm.partner)
 
     def change_service(self):
         self.put_service(self.random.choice(PARTNERS), self.random.randrange(3))
@@ -201,17 +208,17 @@
         partner = self.random.choice(PARTNERS)
         selector = self.random.choice(["", "spare=yes", "tier=a"])
         pool = commands.PutPool(f"{partner}-1", selector, "spare=yes", floor=2)
-        self.do(pool, partner=partner)
+        self.execute(pool, partner=partner)
 
-    def other_planner(self):
-        """A planner without the lease proposes whatever it likes."""
+    def propose_with_wrong_fence(self):
+        """Propose a permit with a fence that is usually not the current one."""
         vm = self.pick_vm()
         stale = self.random.choice([0, 1, self.fence + 1])
         grant = commands.GrantPermit(vm.name, Purpose.MAINTENANCE, "x")
-        self.do(grant, Role.PLANNER, fence=stale)
+        self.execute(grant, Role.PLANNER, fence=stale)
 
-    def rogue(self):
-        """A planner with the lease that is simply wrong."""
+    def propose_random_command(self):
+        """Propose a random command as a faulty planner that holds the lease."""
         vm, other = self.pick_vm(), self.pick_vm()
         command = self.random.choice(
             [
@@ -224,7 +231,7 @@
                 *(commands.PlaceJob(job, vm.name) for job in self.waiting()),
             ]
         )
-        self.do(command, Role.PLANNER, fence=self.fence)
+        self.execute(command, Role.PLANNER, fence=self.fence)
 
     def waiting(self):
         return list(self.state.waiting_job_by_name)[:3]
@@ -236,12 +243,10 @@
         job = commands.SubmitJob(
             f"job-{self.jobs}", f"{partner}-team", f"{partner}-0", cores=cores
         )
-        self.do(job, partner=partner)
-
-    # The checker.
+        self.execute(job, partner=partner)
 
     def down_by_service(self):
-        """Count the VMs of each service that are down, without any index."""
+        """Return the number of VMs down by service, counted without the indexes."""
         counts = {}
         for service in self.state.by_kind["service"].values():
             counts[service.name] = sum(
@@ -255,13 +260,13 @@
         self.check_jobs()
 
     def check_budgets(self, command, down_before):
-        """Only losses and the owner's own change may pass a budget."""
+        """Check the budgets; only a lost VM or the owner's change may exceed one."""
         excused = (commands.ReportLost, commands.PutService)
         for name, down in self.down_by_service().items():
             service = self.state.get("service", name)
             grew = down > down_before.get(name, 0)
             if grew and down > service.max_down and not isinstance(command, excused):
-                raise BrokenPromise(f"budget of {name} after {command}")
+                raise BrokenPromise(f"budget of {name} exceeded after {command}")
         permits = self.state.by_kind["permit"]
         for vm in self.state.by_kind["vm"].values():
             if (
@@ -279,14 +284,14 @@
         for name, jobs in self.state.jobs_by_vm.items():
             vm = self.state.get("vm", name)
             if sum(job.cores for job in jobs.values()) > vm.cores:
-                raise BrokenPromise(f"{name} carries too much")
+                raise BrokenPromise(f"VM {name} has more cores in use than it has")
         for team in self.state.by_kind["team"].values():
             placed = self.state.jobs_by_team[team.name].values()
             if sum(job.cores for job in placed) > team.quota_cores:
-                raise BrokenPromise(f"quota of {team.name}")
+                raise BrokenPromise(f"quota of team {team.name} exceeded")
 
     def settle(self):
-        """End all trouble; every VM under a budget must get maintained."""
+        """End all faults and run the planner until the maintenance should be done."""
         for name in self.platform.vm_by_name:
             self.platform.set_healthy(name, True)
         for number in range(3):
@@ -294,19 +299,19 @@
                 service = commands.PutService(
                     f"{partner}-s{number}", f"{partner}-{number % 2}", 80, "", 1
                 )
-                self.do(service, partner=partner)
+                self.execute(service, partner=partner)
         for job in list(self.state.by_kind["job"].values()):
             if job.state is JobState.RUNNING:
                 end = commands.EndJob(job.name, job.lease, JobState.DONE)
                 self.plan()
-                self.do(end, Role.PLANNER, fence=self.fence)
+                self.execute(end, Role.PLANNER, fence=self.fence)
         for _ in range(400):
             self.now += 1
             self.plan()
             for job in list(self.state.by_kind["job"].values()):
                 if job.state is JobState.RUNNING:
                     end = commands.EndJob(job.name, job.lease, JobState.DONE)
-                    self.do(end, Role.PLANNER, fence=self.fence)
+                    self.execute(end, Role.PLANNER, fence=self.fence)
 
     def unmaintained(self):
         return [
--- a/tests/test_admin_status.py
+++ b/tests/test_admin_status.py
@@ -1,4 +1,4 @@
-"""What the command line tells of a replica's data folder."""
+"""The description of a replica's storage faults on the command line."""
 
 import pytest
 
@@ -19,5 +19,5 @@
         ),
     ],
 )
-def test_a_fault_of_the_folder_is_named(fields, fault):
+def test_each_storage_fault_is_described(fields, fault):
     assert describe_storage_fault({**SOUND, **fields}) == fault
--- a/tests/test_audit_merge.py
+++ b/tests/test_audit_merge.py
@@ -1,7 +1,8 @@
-"""The audit trail of the command line: what one replica lacks, another may have.
+"""Merging the replicas' audit trails on the command line.
 
-A replica that was rebuilt from a snapshot, or whose file was damaged, says which
-places of the log it has no records of. Before, its other rows hid that.
+A replica that was rebuilt from a snapshot, or whose file was damaged, reports
+the log indexes of its missing records. The merged trail must show a gap that no
+other replica fills, and must not let a gap hide a record.
 """
 
 from hingepitch.admin.trail import merge_trails
@@ -15,27 +16,27 @@
     return {"index": index, "command": "(missing)", "missing_after": after}
 
 
-def places(rows):
+def positions(rows):
     return [(one["missing_after"], one["index"]) for one in rows]
 
 
 def test_a_gap_that_another_replica_fills_is_not_shown():
     rows = merge_trails([[row(1), row(2), row(5)], [gap(0, 4), row(5)]])
-    assert places(rows) == [(-1, 1), (-1, 2), (-1, 5)]
+    assert positions(rows) == [(-1, 1), (-1, 2), (-1, 5)]
 
 
-def test_places_that_all_replicas_lack_are_shown():
+def test_indexes_missing_on_all_replicas_are_shown():
     rows = merge_trails([[row(1), gap(1, 6), row(9)], [gap(0, 4), row(5), row(9)]])
-    assert places(rows) == [(-1, 1), (1, 4), (-1, 5), (-1, 9)]
+    assert positions(rows) == [(-1, 1), (1, 4), (-1, 5), (-1, 9)]
 
 
-def test_a_gap_does_not_hide_the_record_at_its_last_place():
-    assert places(merge_trails([[row(4)], [gap(0, 4)]])) == [(-1, 4)]
+def test_a_gap_does_not_hide_the_record_at_its_last_index():
+    assert positions(merge_trails([[row(4)], [gap(0, 4)]])) == [(-1, 4)]
 
 
 def test_one_replica_alone_shows_its_gaps():
-    assert places(merge_trails([[gap(0, 3), row(4)]])) == [(0, 3), (-1, 4)]
+    assert positions(merge_trails([[gap(0, 3), row(4)]])) == [(0, 3), (-1, 4)]
 
 
-def test_no_answer_at_all_is_an_empty_trail():
+def test_no_trails_merge_to_an_empty_trail():
     assert merge_trails([]) == []
--- a/tests/test_codec.py
+++ b/tests/test_codec.py
@@ -1,4 +1,4 @@
-"""Commands as the log holds them: small ones plain, large ones compressed."""
+"""Encoding of commands in the log: small ones plain, large ones compressed."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize("size", [0, 900, 1100, 4000])
-def test_envelopes_come_back_whole(size):
+def test_envelopes_survive_encoding_unchanged(size):
     envelope = make_envelope("x" * size)
     assert decode_envelope(encode_envelope(envelope)) == envelope
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -1,4 +1,4 @@
-"""The decisions: random fleets against the promises, and single rules."""
+"""The state machine and the planner: invariants in random fleets, single rules."""
 
 import pytest
 from hypothesis import HealthCheck, given, settings, strategies
@@ -25,7 +25,7 @@
     suppress_health_check=list(HealthCheck),
 )
 @given(seed=strategies.integers(0, 10**6))
-def test_promises_hold_in_random_fleets(seed):
+def test_invariants_hold_in_random_fleets(seed):
     driver = FleetDriver(seed)
     driver.run(STEPS)
     driver.settle()
@@ -33,7 +33,7 @@
     assert driver.copy.by_kind["vm"] == driver.state.by_kind["vm"]
 
 
-def test_random_fleets_meet_refusals():
+def test_random_fleets_cause_refusals():
     driver = FleetDriver(3)
     driver.run(1000)
     assert {"budget_spent", "stale_fence", "wrong_life"} <= set(driver.refusals)
@@ -56,17 +56,17 @@
 
 def raise_if_stale_fence_passed(driver):
     if "stale_fence" not in driver.refusals:
-        raise BrokenPromise("a planner without the lease was obeyed")
+        raise BrokenPromise("no command with a stale fence was refused")
 
 
-def test_same_log_gives_same_state():
+def test_the_same_log_gives_the_same_state():
     first, second = FleetDriver(5), FleetDriver(5)
     first.run(STEPS)
     second.run(STEPS)
     assert first.state.to_snapshot() == second.state.to_snapshot()
 
 
-def test_snapshot_keeps_everything():
+def test_a_snapshot_restores_the_complete_fleet_state():
     driver = FleetDriver(6)
     driver.run(STEPS)
     again = State.from_snapshot(driver.state.to_snapshot())
@@ -77,7 +77,7 @@
 
 
 class Fleet:
-    """A small fleet built by commands."""
+    """A small fleet that is built by commands."""
 
     def __init__(self, vms=4, max_down=1):
         self.state = State()
@@ -148,12 +148,12 @@
         commands.Delete("vm", "v0"),
     ],
 )
-def test_the_other_partner_changes_nothing(command):
+def test_a_partner_cannot_change_objects_of_the_other_partner(command):
     fleet = Fleet()
     assert fleet.operator(command, partner="right").code == "forbidden"
 
 
-def test_operators_do_not_place_by_hand():
+def test_operators_cannot_move_a_vm_or_grant_a_permit():
     fleet = Fleet()
     fleet.operator(commands.PutPool("other"))
     move = commands.PutVm("v0", "other", "h", "r", "10.0.0.1")
@@ -162,14 +162,14 @@
     assert fleet.operator(grant).code == "forbidden"
 
 
-def test_a_lost_vm_spends_the_budget():
+def test_a_lost_vm_counts_against_the_budget():
     fleet = Fleet()
     fleet.planner(commands.ReportLost("v1"))
     grant = commands.GrantPermit("v0", Purpose.MAINTENANCE, "b0")
     assert fleet.planner(grant).code == "budget_spent"
 
 
-def test_a_permit_ends_only_with_a_new_boot():
+def test_a_vm_returns_only_after_a_reboot():
     fleet = Fleet()
     fleet.planner(commands.GrantPermit("v0", Purpose.MAINTENANCE, "b0"))
     fleet.planner(commands.MarkDrained("v0"))
@@ -191,7 +191,7 @@
     assert fleet.planner(grant).accepted
 
 
-def test_a_frozen_planner_is_fenced():
+def test_a_planner_with_a_stale_fence_is_refused():
     fleet = Fleet()
     old = fleet.fence
     fleet.send(
@@ -208,7 +208,7 @@
     assert outcome.code == "lease_held"
 
 
-def test_wave_uses_the_whole_budget():
+def test_wave_uses_the_full_budget():
     fleet = Fleet(vms=8, max_down=3)
     fleet.operator(commands.PutCampaign("c"))
     assert len(list(plan_wave(fleet.state, fleet.view(), 0, ["pool"]))) == 3
@@ -235,7 +235,7 @@
     assert late.code == "key_unknown"
 
 
-def test_answered_claim_gives_its_answer_and_goes_after_its_time():
+def test_answered_claim_returns_its_answer_and_expires():
     fleet = Fleet()
     opened = fleet.send(Role.ENTRY, commands.OpenClaim("s", "k", "d", "e1")).claim
     close = commands.CloseClaim("s", "k", opened.version, 200, "text/plain", b"done")
@@ -247,7 +247,7 @@
     assert fleet.state.by_kind["claim"] == {}
 
 
-def test_many_claims_shorten_the_retention_and_then_refuse(monkeypatch):
+def test_many_claims_shorten_the_retention_and_are_then_refused(monkeypatch):
     monkeypatch.setattr(claim_rules, "MAX_CLAIMS", 3)
     monkeypatch.setattr(claim_rules, "REFUSE_CLAIMS_ABOVE", 5)
     fleet = Fleet()
@@ -263,7 +263,7 @@
     assert fleet.send(Role.ENTRY, more, at_seconds=later).accepted
 
 
-def test_ended_jobs_are_kept_up_to_a_number(monkeypatch):
+def test_the_number_of_ended_jobs_kept_is_bounded(monkeypatch):
     monkeypatch.setattr(job_rules, "MAX_ENDED_JOBS", 2)
     fleet = Fleet()
     for number in range(4):
@@ -280,7 +280,7 @@
     assert list(fleet.state.by_kind["claim"]) == ["s/k"]
 
 
-def test_release_by_an_old_claim_does_not_free_a_new_one():
+def test_releasing_an_old_claim_does_not_release_a_new_one():
     fleet = Fleet()
     open_claim = commands.OpenClaim("s", "k", "d", "e1")
     first = fleet.send(Role.ENTRY, open_claim).claim
@@ -305,7 +305,7 @@
     assert planned == ["now", "j0"]
 
 
-def test_job_that_fits_nowhere_blocks_nobody_and_says_why():
+def test_job_that_fits_nowhere_blocks_no_other_job_and_is_explained():
     fleet = Fleet()
     submit(fleet, "huge", cores=9)
     submit(fleet, "small")
@@ -317,7 +317,7 @@
     assert obstacles == ["cores: larger than the VM (4 of 4 VMs)"]
 
 
-def test_cancelled_job_keeps_its_room_until_it_has_stopped():
+def test_cancelled_job_keeps_its_resources_until_it_has_stopped():
     fleet = Fleet(vms=1)
     submit(fleet, "j", cores=4)
     fleet.planner(commands.PlaceJob("j", "v0"))
@@ -329,7 +329,7 @@
     assert fleet.planner(commands.PlaceJob("k", "v0")).accepted
 
 
-def test_worker_that_fails_different_jobs_is_set_aside():
+def test_worker_that_fails_different_jobs_is_quarantined():
     quarantine = VmQuarantine()
     for number in range(3):
         task = Task(f"j{number}/1", "bad", TaskState.FAILED)
@@ -338,7 +338,7 @@
     assert not quarantine.is_quarantined("bad", 1000.0)
 
 
-def test_one_failing_job_does_not_condemn_a_worker():
+def test_one_failing_job_does_not_quarantine_a_worker():
     quarantine = VmQuarantine()
     for attempt in range(5):
         task = Task(f"j/{attempt}", "vm", TaskState.FAILED)
