--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -2,9 +2,10 @@
 soak.__main__
 ~~~~~~~~~~~~~
 
-Command line of the soak; exit code 1 if a promise broke, 2 for bad input.
-`--seconds` is how long faults begin in a run, `--keep` where the logs of a seed
-that broke go.
+Run the soak; exit with code 1 if a promise is broken, 2 for invalid arguments.
+
+`--seconds` is the time during which a run injects faults, `--keep` the folder
+for the logs of a seed that broke a promise.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -30,38 +31,38 @@
 
 
 class Parser(argparse.ArgumentParser):
-    """A parser that says what is wrong in one line."""
+    """An argument parser that reports errors in one line."""
 
     def error(self, message):
-        """Print the error, and end the program."""
+        """Print the error and exit with `BAD_INPUT`."""
         print(f"soak: {message}", file=sys.stderr)
         sys.exit(BAD_INPUT)
 
 
 def parse_seeds(text):
-    """Return the seeds `N`, or `A..B` with both ends."""
+    """Return the seeds of `N` or `A..B`, both ends included."""
     match = SEEDS.match(text)
     if match is None:
-        raise argparse.ArgumentTypeError(f"neither N nor A..B: {text}")
+        raise argparse.ArgumentTypeError(f"expected N or A..B: {text}")
     first, last = int(match[1]), int(match[2] or match[1])
     if first > last:
-        raise argparse.ArgumentTypeError(f"no seeds in {text}")
+        raise argparse.ArgumentTypeError(f"empty range of seeds: {text}")
     return range(first, last + 1)
 
 
 def parse_duration(text):
-    """Return a positive number of minutes or seconds."""
+    """Return a duration, a positive and finite number."""
     try:
         value = float(text)
     except ValueError:
         value = 0.0
     if not 0 < value < float("inf"):
-        raise argparse.ArgumentTypeError(f"not a positive number: {text}")
+        raise argparse.ArgumentTypeError(f"expected a positive number: {text}")
     return value
 
 
 def parse_folder(text):
-    """Return a folder, made if it does not exist."""
+    """Return a folder; create it if it does not exist."""
     folder = Path(text)
     try:
         folder.mkdir(parents=True, exist_ok=True)
@@ -71,7 +72,7 @@
 
 
 def parse_arguments(arguments):
-    """Return the arguments; end the program if they are wrong."""
+    """Return the parsed arguments; exit if they are invalid."""
     parser = Parser(prog="python -m soak", description=__doc__.splitlines()[4])
     which = parser.add_mutually_exclusive_group(required=True)
     which.add_argument("--seed", type=parse_seeds, dest="seeds", metavar="N")
@@ -82,11 +83,11 @@
     return parser.parse_args(arguments)
 
 
-def play(seed, options):
-    """Play one seed and print its report; return whether all was kept."""
+def run_seed(seed, options):
+    """Run one seed and print its report; return whether it kept all promises."""
     with Run(seed, options.seconds) as run:
         try:
-            is_kept = run.play()
+            is_kept = run.execute()
         except TimeoutError as error:
             is_kept = run.record.check("the site starts", False, str(error))
         print(f"seed {seed}: {'kept' if is_kept else 'BROKEN'}")
@@ -100,7 +101,7 @@
 
 
 def main(arguments=None):
-    """Entry point; return the exit code."""
+    """Run the seeds and return the exit code."""
     options = parse_arguments(arguments)
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(BROKEN))
     end = time.monotonic() + (options.minutes or 0) * 60
@@ -110,7 +111,7 @@
         if options.minutes and time.monotonic() > end:
             break
         count += 1
-        if not play(seed, options):
+        if not run_seed(seed, options):
             broken.append(seed)
     print(f"{count} seeds, {len(broken)} broken: {broken}")
     return BROKEN if broken else 0
--- a/soak/caller.py
+++ b/soak/caller.py
@@ -2,7 +2,7 @@
 soak.caller
 ~~~~~~~~~~~
 
-Callers of the entries: hand jobs in, ask for them, cancel some.
+Callers of the entries, which submit, query and cancel jobs.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -22,21 +22,21 @@
 
 ENDED_STATES = ("succeeded", "failed", "cancelled")
 
-#: Shares of the calls: the rest asks for jobs.
+#: Fractions of the calls that submit and cancel; the others query a job.
 SUBMIT_SHARE = 0.5
 CANCEL_SHARE = 0.1
 
 
 @dataclass
 class Job:
-    """A job as its caller knows it.
+    """A job as known to its caller.
 
     `widths`
-        Tasks of each step.
+        Number of tasks of each step.
     `cancelled_at`
-        When its cancelling was acknowledged, in seconds of the steady clock.
+        When the cancellation was acknowledged, in seconds of the monotonic clock.
     `state`
-        The state that was shown last.
+        The state in the latest reply.
     """
 
     id: str
@@ -48,15 +48,17 @@
 
     @property
     def has_ended(self):
-        """Whether it was shown as ended."""
+        """Whether the latest state is a final one."""
         return self.state in ENDED_STATES
 
 
 class Caller(Client):
-    """Hands in jobs of its own and follows them.
+    """Submits jobs and follows them until they end.
 
     `jobs`
-        All that were sent, in order.
+        All jobs that were sent, in order.
+    `unsure`
+        The job whose submission has no known outcome; None if there is none.
     """
 
     def __init__(self, addresses, record, rng, pause_seconds=0.03):
@@ -66,7 +68,7 @@
         self.unsure = None
 
     def step(self):
-        """Make one call by chance."""
+        """Make one random call."""
         share = self.rng.random()
         open_jobs = [job for job in self.accepted() if not job.has_ended]
         if self.unsure or share < SUBMIT_SHARE or not open_jobs:
@@ -80,11 +82,11 @@
         return [job for job in self.jobs if job.is_accepted]
 
     def call(self, method, job, body=None):
-        """Call an entry about a job."""
+        """Call an entry with the path of a job; return `(status, body)`."""
         return self.link.call(method, QUEUE + job.id, body, {"Host": HOST})
 
     def submit(self):
-        """Hand a job in, one without an answer again; return whether accepted."""
+        """Submit a new job, or resend one without a reply; return whether accepted."""
         job = self.unsure
         if job is None:
             widths = tuple(self.rng.randrange(1, 4) for _ in range(2))
@@ -107,7 +109,7 @@
         return False
 
     def ask(self, job):
-        """Ask for the state of an accepted job; return whether it was told."""
+        """Query the state of an accepted job; return whether a reply gave it."""
         status, data = self.call("GET", job)
         self.record.check(
             "accepted jobs are known",
@@ -131,7 +133,7 @@
         return True
 
     def cancel(self, job):
-        """Cancel a job; return whether that was acknowledged."""
+        """Cancel a job; return whether the cancellation was acknowledged."""
         job.is_cancel_sent = True
         is_acked = self.call("DELETE", job)[0] == 200
         if is_acked and job.cancelled_at is None:
@@ -139,10 +141,10 @@
         return is_acked
 
     def finish(self, deadline):
-        """Ask until every accepted job has ended; note those that have not.
+        """Query the accepted jobs until all have ended; check that they have.
 
         `deadline`
-            Time of the steady clock, in seconds.
+            Time of the monotonic clock, in seconds.
         """
         waiting = [job for job in self.accepted() if not job.has_ended]
         while waiting and time.monotonic() < deadline:
--- a/soak/fault.py
+++ b/soak/fault.py
@@ -2,7 +2,7 @@
 soak.fault
 ~~~~~~~~~~
 
-Faults from outside, drawn by seed, in series that overlap.
+Random faults by seed, injected from outside the processes in overlapping series.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -15,29 +15,29 @@
 
 __all__ = ["Faults"]
 
-#: Between two faults of a series, on average.
+#: Mean time between two faults of a series.
 MEAN_GAP_SECONDS = 0.7
 
-#: One fault in so many is the last of its series; then the changes of a storm
-#: gather, so that the next loss of power has writes to tear.
-SERIES = 4
+#: Mean number of faults in a series. Configuration changes accumulate during the
+#: calm that follows, so that the next power loss has unsynced writes to tear.
+MEAN_SERIES_LENGTH = 4
 CALM_SECONDS = (1.0, 5.0)
 
-#: Until a process is started again. Source: the users' platform.
+#: Delay until the users' platform starts a process again.
 RESTART_SECONDS = (0.1, 1.0)
 
-#: From the restart to the next loss of power while the process recovers.
+#: Time from a restart to another power loss during the recovery.
 RECOVERY_LOSS_SECONDS = (0.1, 0.6)
 PAUSE_SECONDS = (0.2, 4.0)
 
-#: Longest time that a process may take to stop; a paused one takes longer.
+#: Longest time that a process may take to stop, its pauses not included.
 STOP_SECONDS = 15.0
-LOOK_SECONDS = 0.05
+POLL_SECONDS = 0.05
 
-#: A process that began so recently may not have its handler yet.
+#: Time after its start in which a process may not have its signal handlers yet.
 LOADING_SECONDS = 1.0
 
-#: Longest wait for the acknowledgement right after which a fault comes.
+#: Longest wait for an acknowledged change before a fault that should follow one.
 ACK_SECONDS = 1.0
 
 MAX_LOST_DISKS = 2
@@ -47,12 +47,14 @@
 
 
 class Faults:
-    """Carries faults out on a `Site`, one at a time, and undoes them later.
+    """Injects faults into a `Site`, one at a time, and undoes them later.
 
     `writer`
-        The `ConfigWriter`: some faults come right after an acknowledgement.
+        The `ConfigWriter`; some faults directly follow one of its acknowledgements.
     `lost`
-        Identities of the replicas whose disks are lost, until replaced.
+        Identities of the replicas whose disks were lost most recently.
+    `scheduled_calls`
+        Heap of scheduled calls: `(time, number, function, arguments)`.
     """
 
     def __init__(self, site, record, rng, writer):
@@ -61,54 +63,56 @@
         self.rng = rng
         self.writer = writer
         self.lost = set()
-        self.due = []
+        self.scheduled_calls = []
         self.numbers = itertools.count()
         self.started_by_ip = dict.fromkeys(site.process_by_ip, time.monotonic())
 
-    def later(self, seconds, function, *arguments):
-        """Have a function called after so many seconds."""
+    def call_later(self, seconds, function, *arguments):
+        """Schedule the call of a function after a number of seconds."""
         at = time.monotonic() + seconds
-        heapq.heappush(self.due, (at, next(self.numbers), function, arguments))
+        heapq.heappush(
+            self.scheduled_calls, (at, next(self.numbers), function, arguments)
+        )
 
     def run(self, seconds):
-        """Bring faults about for so long, then undo what is left of them."""
+        """Begin faults for a number of seconds, then wait until all are undone."""
         end = time.monotonic() + seconds
-        self.later(self.rng.uniform(*CALM_SECONDS), self.begin_next, end)
-        while self.due:
-            at, _, function, arguments = heapq.heappop(self.due)
+        self.call_later(self.rng.uniform(*CALM_SECONDS), self.begin_next, end)
+        while self.scheduled_calls:
+            at, _, function, arguments = heapq.heappop(self.scheduled_calls)
             time.sleep(max(0, at - time.monotonic()))
             function(*arguments)
         self.record.note("the last fault is over")
 
     def begin_next(self, end):
-        """Begin a fault by chance, and plan the next one."""
+        """Begin a random fault and schedule the next one."""
         if time.monotonic() > end:
             return
         getattr(self, self.rng.choices(KINDS, WEIGHTS)[0])()
         seconds = self.rng.expovariate(1 / MEAN_GAP_SECONDS)
-        if self.rng.randrange(SERIES) == 0:
+        if self.rng.randrange(MEAN_SERIES_LENGTH) == 0:
             seconds += self.rng.uniform(*CALM_SECONDS)
             self.record.note(f"calm, {self.writer.ack_count} changes acknowledged")
-        self.later(seconds, self.begin_next, end)
+        self.call_later(seconds, self.begin_next, end)
 
-    def anyone(self):
-        """Return the address of a control replica or an entry."""
+    def pick_process(self):
+        """Return the address of a random control replica or entry."""
         return self.rng.choice(self.site.control_ips * 2 + self.site.entry_ips)
 
     def kill(self):
         """Kill one process."""
-        ip = self.anyone()
+        ip = self.pick_process()
         self.record.note(f"kill {ip}")
         self.site.kill(ip)
         self.restart_later([ip])
 
     def restart_later(self, ips, function=None):
-        """Start processes again soon; then call a function with them."""
+        """Schedule the restart of processes; see `restart`."""
         seconds = self.rng.uniform(*RESTART_SECONDS)
-        self.later(seconds, self.restart, ips, function)
+        self.call_later(seconds, self.restart, ips, function)
 
     def restart(self, ips, function=None):
-        """Start those processes again that are down."""
+        """Start the processes that are down; call `function` with their addresses."""
         begun = [ip for ip in ips if not self.site.is_running(ip)]
         for ip in begun:
             self.record.note(f"start {ip}")
@@ -118,23 +122,23 @@
             function(begun)
 
     def pause(self):
-        """Pause one process, and wake it later."""
-        ip = self.anyone()
+        """Pause one process and resume it later."""
+        ip = self.pick_process()
         if not self.site.is_running(ip):
             return
         self.record.note(f"pause {ip}")
         self.site.process_by_ip[ip].signal(signal.SIGSTOP)
-        self.later(self.rng.uniform(*PAUSE_SECONDS), self.wake, ip)
+        self.call_later(self.rng.uniform(*PAUSE_SECONDS), self.wake, ip)
 
     def wake(self, ip):
-        """Wake a process, unless it was killed meanwhile."""
+        """Resume a process, unless it was killed meanwhile."""
         if self.site.is_running(ip):
             self.record.note(f"wake {ip}")
             self.site.process_by_ip[ip].signal(signal.SIGCONT)
 
     def stop(self):
-        """Ask one process to stop; start it again once it has."""
-        ip = self.anyone()
+        """Ask one process to stop and start it again after that."""
+        ip = self.pick_process()
         if self.site.is_running(ip) and ip not in self.site.down:
             self.record.note(f"stop {ip}")
             self.site.ask_to_stop(ip)
@@ -143,24 +147,27 @@
             self.await_stop(ip, popen, time.monotonic() + longest)
 
     def await_stop(self, ip, popen, deadline):
-        """Start a process again once it has stopped, or was killed meanwhile."""
+        """Start a process again when it has stopped or was killed meanwhile."""
         if popen.poll() is None and time.monotonic() < deadline:
-            self.later(LOOK_SECONDS, self.await_stop, ip, popen, deadline)
+            self.call_later(POLL_SECONDS, self.await_stop, ip, popen, deadline)
             return
         has_stopped = popen.poll() is not None
-        self.record.check("a process that is asked to stop does", has_stopped, ip)
+        self.record.check("a process stops when asked to", has_stopped, ip)
         self.restart([ip])
 
     def hang_up(self):
-        """Have all processes read their settings again."""
+        """Make all processes reload their settings."""
         began = time.monotonic() - LOADING_SECONDS
         ips = [ip for ip, at in self.started_by_ip.items() if at < began]
-        self.record.note(f"hang up {len(ips)} processes")
+        self.record.note(f"reload the settings of {len(ips)} processes")
         for ip in filter(self.site.is_running, ips):
             self.site.process_by_ip[ip].signal(signal.SIGHUP)
 
     def lose_power(self):
-        """Have some or all controls lose power, all right after an ack."""
+        """Cut the power of some control replicas, or of all.
+
+        A loss of all directly follows an acknowledgement.
+        """
         ips = self.site.control_ips
         count = len(ips)
         if self.rng.random() < 0.5:
@@ -170,28 +177,28 @@
         self.cut_power(self.rng.sample(ips, count))
 
     def cut_power(self, ips):
-        """Have controls lose power now, and perhaps while they recover."""
+        """Cut the power of control replicas now and perhaps during their recovery."""
         self.record.note(f"power lost at {' '.join(ips)}")
         self.site.lose_power(self.rng, *ips)
         again = self.cut_power_soon if self.rng.random() < 0.5 else None
         self.restart_later(ips, again)
 
     def cut_power_soon(self, ips):
-        """Have controls lose power while they recover."""
-        self.later(self.rng.uniform(*RECOVERY_LOSS_SECONDS), self.cut_power, ips)
+        """Schedule another power loss of control replicas during their recovery."""
+        self.call_later(self.rng.uniform(*RECOVERY_LOSS_SECONDS), self.cut_power, ips)
 
     def await_ack(self):
-        """Wait for the next acknowledgement of a configuration, for a while."""
+        """Wait up to `ACK_SECONDS` for the next acknowledged configuration."""
         before = self.writer.ack_count
         deadline = time.monotonic() + ACK_SECONDS
         while self.writer.ack_count == before and time.monotonic() < deadline:
             time.sleep(0.001)
 
     def lose_disks(self):
-        """Have controls lose their disks right after an acknowledgement.
+        """Make one or two control replicas lose their disks after an acknowledgement.
 
-        One or two, and none before the last ones are replaced; at times all
-        others lose power at that moment.
+        Does nothing until the replicas that lost their disks before are replaced.
+        In some cases all other control replicas lose power at the same time.
         """
         count = self.rng.randrange(1, MAX_LOST_DISKS + 1)
         is_power_lost = self.rng.random() < 0.4
--- a/soak/judge.py
+++ b/soak/judge.py
@@ -2,7 +2,7 @@
 soak.judge
 ~~~~~~~~~~
 
-What the minions noted, the processes and their logs, held against the promises.
+Checks of the promises against the minions' events, the processes and their logs.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -12,13 +12,13 @@
 
 __all__ = ["check_logs", "check_processes", "check_tasks"]
 
-#: After so many seconds a cancelled job starts nothing. Source: `cancel_ms` of
-#: the users' pages.
+#: A cancelled job starts no task after this time, as `cancel_ms` of the users'
+#: pages requires.
 CANCEL_SECONDS = 3.0
 
 
 def check_tasks(record, site, jobs):
-    """Hold the minions' notes against what the callers were told."""
+    """Check the task events of the minions against the replies to the callers."""
     doubled = site.doubled_tasks()
     starts = [row for row in site.events() if row[1] == "start"]
     for _, _, minion, task, run in starts:
@@ -40,7 +40,7 @@
 
 
 def check_successes(record, site, jobs):
-    """Check that each job shown as succeeded has all its tasks done."""
+    """Check that all tasks of each job reported as succeeded are done."""
     done_by_job = defaultdict(set)
     for _, what, _, task, _ in site.events():
         if what == "done":
@@ -49,12 +49,12 @@
         if job.state == "succeeded":
             count = len(done_by_job[job.id])
             detail = f"{job.id}: {count} tasks of {sum(job.widths)}"
-            is_whole = count == sum(job.widths)
-            record.check("a succeeded job has all its tasks done", is_whole, detail)
+            is_complete = count == sum(job.widths)
+            record.check("a succeeded job has all its tasks done", is_complete, detail)
 
 
 def check_processes(record, site):
-    """Check that no process ended by itself."""
+    """Check that no process, and not the fleet of minions, ended unexpectedly."""
     site.note_ended()
     seen, site.ended = site.ended, []
     for ip, code in seen:
@@ -65,11 +65,11 @@
 
 
 def check_logs(record, site):
-    """Check that no replica found damage in what it had synced."""
+    """Check the logs for damaged synced data and for failures inside a replica."""
     for ip in site.control_ips:
         log = site.process_by_ip[ip].log()
         for event in ("log_set_aside", "audit_incomplete"):
-            is_whole = f"event={event}" not in log
-            record.check("what was synced is whole", is_whole, f"{ip}: {event}")
+            is_intact = f"event={event}" not in log
+            record.check("synced data is intact", is_intact, f"{ip}: {event}")
         has_failed = "event=child_failed" in log or "event=program_failed" in log
-        record.check("nothing inside a control fails", not has_failed, ip)
+        record.check("no component of a control replica fails", not has_failed, ip)
--- a/soak/operator.py
+++ b/soak/operator.py
@@ -2,7 +2,7 @@
 soak.operator
 ~~~~~~~~~~~~~
 
-The operator: changes the configuration in storms, and reads it back.
+Clients that act as the operator: write configurations rapidly and read them back.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -22,18 +22,18 @@
 #: The queue that every configuration has.
 QUEUE = "/q/"
 
-#: Routes of a large configuration, at most: tens of kilobytes.
+#: Most routes of a large configuration, which make tens of kilobytes.
 MAX_ROUTES = 300
 
-#: One change in so many is a large one.
+#: Every change with a version divisible by this number is a large one.
 LARGE_EVERY = 7
 
 
 class ConfigWriter(Client):
-    """Sends one newer configuration after another.
+    """Sends configurations with increasing versions.
 
     `sent`, `acked`
-        The newest versions that were sent and acknowledged.
+        The newest version that was sent and that was acknowledged.
     """
 
     def __init__(self, addresses, record, rng, pause_seconds=0.0):
@@ -45,7 +45,7 @@
         self.sending = threading.Lock()
 
     def step(self):
-        """Send the next version; it has no second try under its number."""
+        """Send the next version once; return whether it was acknowledged."""
         with self.sending:
             self.sent += 1
             body = config_body(self.sent, self.queues())
@@ -53,13 +53,15 @@
             if status == 200:
                 self.acked = self.sent
                 self.ack_count += 1
-            is_fair = status in (0, 200) or status >= 500
+            is_expected = status in (0, 200) or status >= 500
             detail = f"{self.sent} was answered with {status}: {data[:200]}"
-            self.record.check("valid configurations are not refused", is_fair, detail)
+            self.record.check(
+                "valid configurations are not refused", is_expected, detail
+            )
         return status == 200
 
     def queues(self):
-        """Return the path prefixes of the next version: a few, or very many."""
+        """Return the path prefixes of the next version: one, or very many."""
         count = 1
         if self.sent % LARGE_EVERY == 0:
             count = min(MAX_ROUTES, 20 + self.sent) - self.rng.randrange(20)
@@ -67,14 +69,14 @@
 
 
 class ConfigReader(Client):
-    """Reads the configuration in force again and again."""
+    """Reads the current configuration repeatedly."""
 
     def __init__(self, addresses, record, writer, pause_seconds=0.05):
         super().__init__(addresses, record, CALL_SECONDS, pause_seconds)
         self.writer = writer
 
     def step(self):
-        """Read the configuration; return whether it was answered."""
+        """Read and check the configuration; return whether the read succeeded."""
         acked = self.writer.acked
         status, data = self.link.call("GET", CONFIG_PATH)
         if status != 200:
--- a/soak/record.py
+++ b/soak/record.py
@@ -2,7 +2,7 @@
 soak.record
 ~~~~~~~~~~~
 
-What happened in a run: faults, promises that were checked, and breaches.
+Record of a run: its faults, the checks of the promises, and the breaches.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -14,19 +14,19 @@
 from dataclasses import dataclass
 from datetime import UTC, datetime
 
-__all__ = ["Breach", "Record", "lines_around"]
+__all__ = ["Breach", "Record", "log_lines_around"]
 
-#: Log lines within so many seconds of a breach are shown, and how many at most.
-AROUND_SECONDS = 1.0
-MAX_LINES = 40
+#: Log lines within this time of a breach are reported, up to `MAX_LOG_LINES`.
+CONTEXT_SECONDS = 1.0
+MAX_LOG_LINES = 40
 
-#: Breaches of one promise that are told one by one.
-MAX_TOLD = 5
+#: Breaches of one promise that are reported with details.
+MAX_REPORTED = 5
 
 
 @dataclass(frozen=True)
 class Breach:
-    """A promise that broke; `at` is the time of day, in seconds."""
+    """A broken promise; `at` is in seconds since the epoch."""
 
     promise: str
     detail: str
@@ -34,28 +34,28 @@
 
 
 class Record:
-    """Timeline of one run; every thread may write to it.
+    """Record of one run; safe to use from several threads.
 
     `checks_by_promise`
-        How often each promise was looked at.
-    `faults`
-        `(seconds since the start, what)`.
+        Number of checks of each promise.
+    `timeline`
+        Faults and other events of the run: `(seconds since the start, text)`.
     """
 
     def __init__(self):
         self.lock = threading.Lock()
         self.began = time.monotonic()
-        self.faults = []
+        self.timeline = []
         self.checks_by_promise = Counter()
         self.breaches = []
 
     def note(self, what):
-        """Note a fault, or another event of the run."""
+        """Record a fault or another event of the run."""
         with self.lock:
-            self.faults.append((time.monotonic() - self.began, what))
+            self.timeline.append((time.monotonic() - self.began, what))
 
     def check(self, promise, is_kept, detail=""):
-        """Count one look at a promise; note a breach."""
+        """Count one check of a promise, record a breach; return whether it is kept."""
         with self.lock:
             self.checks_by_promise[promise] += 1
             if not is_kept:
@@ -63,23 +63,23 @@
         return is_kept
 
     def lines(self, logs):
-        """Yield the lines of the report; `logs` is a folder."""
-        for seconds, what in self.faults:
+        """Yield the lines of the report; `logs` is the folder of the log files."""
+        for seconds, what in self.timeline:
             yield f"  {seconds:7.3f} {what}"
         broken = Counter(breach.promise for breach in self.breaches)
         for promise, count in sorted(self.checks_by_promise.items()):
             yield f"  {promise}: {count} checks, {broken[promise]} broken"
-        told = Counter()
+        reported = Counter()
         for breach in self.breaches:
-            told[breach.promise] += 1
-            if told[breach.promise] <= MAX_TOLD:
+            reported[breach.promise] += 1
+            if reported[breach.promise] <= MAX_REPORTED:
                 yield f"  BROKEN {breach.promise}: {breach.detail}"
-                yield from lines_around(logs, breach.at)
+                yield from log_lines_around(logs, breach.at)
 
 
-def lines_around(logs, at):
-    """Yield the lines of all logs around a time of day, and of their tracebacks."""
-    times = (at - AROUND_SECONDS, at + AROUND_SECONDS)
+def log_lines_around(logs, at):
+    """Yield the log lines around a time, and all lines that contain an error."""
+    times = (at - CONTEXT_SECONDS, at + CONTEXT_SECONDS)
     first, last = (f"time={datetime.fromtimestamp(one, UTC):%FT%T}" for one in times)
     found = []
     for path in sorted(logs.glob("*.log")):
@@ -87,4 +87,4 @@
             is_event = line.startswith("time=")
             if (is_event and first <= line[: len(first)] <= last) or "Error" in line:
                 found.append(f"    {path.stem} {line[:300]}")
-    yield from found[-MAX_LINES:]
+    yield from found[-MAX_LOG_LINES:]
--- a/soak/run.py
+++ b/soak/run.py
@@ -2,7 +2,7 @@
 soak.run
 ~~~~~~~~
 
-One run: a site, its clients, its faults, and the promises held against it.
+One run of the soak: a site, its clients, its faults and the checks.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -21,12 +21,12 @@
 
 __all__ = ["Run"]
 
-#: After the last fault: until calls are served again, in seconds. Source:
-#: `recovery_s` of the users' pages.
+#: Longest time from the last fault until calls are served again, as `recovery_s`
+#: of the users' pages requires.
 RECOVERY_SECONDS = 12.0
 
-#: Until all voters are back and all jobs have ended, in seconds. Source: a
-#: replica without its disk is replaced one at a time.
+#: Longest time until all voters are back, and until all jobs have ended. Replicas
+#: that lost their disks are replaced one at a time.
 COMPLETE_SECONDS = 40.0
 
 CALLERS = 2
@@ -36,9 +36,9 @@
     """One run of a soak.
 
     `seed`
-        Of the faults, the clients and of what a loss of power leaves.
+        Seed of the faults, the clients and what a power loss leaves on a disk.
     `fault_seconds`
-        How long faults begin.
+        Time during which faults begin.
     """
 
     def __init__(self, seed, fault_seconds):
@@ -57,12 +57,12 @@
         self.faults = Faults(self.site, self.record, self.rng("faults"), self.writer)
 
     def rng(self, name):
-        """Return the generator of one part of this run."""
+        """Return a random number generator for one part of this run."""
         return random.Random(f"{self.seed}/{name}")
 
     @property
     def clients(self):
-        """All clients."""
+        """All clients of the run."""
         return [self.writer, self.reader, *self.callers]
 
     def __enter__(self):
@@ -73,8 +73,8 @@
         for client in self.clients:
             client.stop()
 
-    def play(self):
-        """Play the run; return whether every promise was kept."""
+    def execute(self):
+        """Execute the run; return whether every promise was kept."""
         self.site.start()
         wait_for(self.writer.step, what="the first configuration")
         for client in self.clients:
@@ -87,7 +87,7 @@
         return not self.record.breaches
 
     def check_recovery(self):
-        """Check that calls are served again, and the group made whole."""
+        """Check that calls are served again and that lost replicas are replaced."""
         began = time.monotonic()
         for what, step in (
             ("configuration", self.writer.step),
@@ -100,15 +100,17 @@
             detail = f"no {what} in {RECOVERY_SECONDS} s"
             self.record.check("served again after the last fault", is_served, detail)
         lost = self.faults.lost
-        is_whole = holds_within(
+        is_complete = holds_within(
             lambda: self.site.whole_group(lost), began + COMPLETE_SECONDS
         )
-        self.record.note(f"whole after {time.monotonic() - began:.3f} s: {is_whole}")
+        self.record.note(
+            f"complete after {time.monotonic() - began:.3f} s: {is_complete}"
+        )
         detail = f"voters: {self.site.voters()}"
-        self.record.check("lost replicas are replaced", is_whole, detail)
+        self.record.check("lost replicas are replaced", is_complete, detail)
 
     def check_end(self):
-        """Check what holds at the end of a run."""
+        """Check the jobs, tasks, processes and logs at the end of a run."""
         deadline = time.monotonic() + COMPLETE_SECONDS
         for caller in self.callers:
             caller.finish(deadline)
@@ -119,7 +121,7 @@
 
 
 def holds_within(condition, deadline):
-    """Return whether a condition comes true before a time of the steady clock."""
+    """Return whether a condition becomes true before a time of the monotonic clock."""
     while not condition():
         if time.monotonic() > deadline:
             return False
--- a/tests/fleet_driver.py
+++ b/tests/fleet_driver.py
@@ -284,11 +284,11 @@
         for name, jobs in self.state.jobs_by_vm.items():
             vm = self.state.get("vm", name)
             if sum(job.cores for job in jobs.values()) > vm.cores:
-                raise BrokenPromise(f"VM {name} has more cores in use than it has")
+                raise BrokenPromise(f"{name} runs jobs with more cores than it has")
         for team in self.state.by_kind["team"].values():
             placed = self.state.jobs_by_team[team.name].values()
             if sum(job.cores for job in placed) > team.quota_cores:
-                raise BrokenPromise(f"quota of team {team.name} exceeded")
+                raise BrokenPromise(f"jobs exceed the quota of {team.name}")
 
     def settle(self):
         """End all faults and run the planner until the maintenance should be done."""
