--- a/conftest.py
+++ b/conftest.py
@@ -1,10 +1,11 @@
-"""Where pytest finds the steps of the scenarios, and the tests known to be red."""
+"""Registers the steps of the scenarios and expects known red tests to fail."""
 
 from pathlib import Path
 
 import pytest
 
-# Those that others import come first, so that their asserts are explained too.
+# Modules that other step modules import come first, as pytest rewrites the asserts
+# of a plugin only if it is not imported yet.
 pytest_plugins = [
     "tests.steps.operator",
     "tests.steps.process",
@@ -18,7 +19,7 @@
 
 
 def known_red():
-    """Return the lines of the tests known to be red, by the test's name."""
+    """Return the lines of `KNOWN-RED.txt` by the id of the test."""
     if not KNOWN_RED.is_file():
         return {}
     lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
@@ -26,7 +27,7 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Expect the tests known to be red to fail; one that passes is an error."""
+    """Expect known red tests to fail; one that passes is an error."""
     lines = known_red()
     for item in items:
         line = lines.get(item.nodeid.split("[")[0])
@@ -35,6 +36,6 @@
 
 
 def pytest_terminal_summary(terminalreporter):
-    """Print the tests known to be red."""
+    """Print the known red tests."""
     for line in known_red().values():
         terminalreporter.write_line(f"KNOWN RED: {line}")
--- a/tests/data/make_earlier.py
+++ b/tests/data/make_earlier.py
@@ -1,10 +1,10 @@
-"""Makes the folders of `tests/data/earlier` with the code that wrote them.
+"""Makes the data folders of `tests/data/earlier` with an earlier version.
 
 usage: PYTHONPATH=CHECKOUT python tests/data/make_earlier.py
 
-CHECKOUT holds the last version that wrote a log record for each entry, its
-snapshots without a checksum and its audit trail without a mark. Beside each
-folder stands, in `expected.json`, what that version recovered from it.
+CHECKOUT holds the last version that wrote one log record for each entry,
+snapshots without a checksum and an audit trail without a marker. The file
+`expected.json` has what that version recovers from each folder.
 """
 
 import json
@@ -19,7 +19,7 @@
 OUT = Path(__file__).parent / "earlier"
 MEMBERS = (Member("c1", "c1", "127.0.0.1:1", "h1"),)
 
-#: Files of the trail are this small here, in bytes.
+#: Size limit of the files of the audit trail, which makes the trail several files.
 MAX_FILE_BYTES = 700
 
 
@@ -32,7 +32,7 @@
 
 
 def write_log(storage, audit):
-    """Votes and entries, several in one write, and a tail that is replaced."""
+    """Write votes, entries, several of them in one write, and a replaced tail."""
     storage.write((1, "c1"), entries(1, 4))
     storage.write(None, entries(5, 7))
     storage.write((2, "c2"), [])
@@ -41,7 +41,7 @@
 
 
 def write_snapshot(storage, audit):
-    """A snapshot with entries behind it; the next segment begun."""
+    """Write a snapshot, then entries into the next segment."""
     write_log(storage, audit)
     add_records(audit, 5, 6)
     audit.sync()
@@ -52,7 +52,7 @@
 
 
 def write_installed(storage, audit):
-    """A snapshot of another replica in the place of the log."""
+    """Write a snapshot of another replica that replaces the log."""
     write_log(storage, audit)
     audit.sync()
     storage.save_snapshot(Snapshot(20, 2, MEMBERS, b"state at 20"), void_log=True)
@@ -61,7 +61,7 @@
 
 
 def write_dropped(storage, audit):
-    """A segment dropped between two that stay: the first has a replaced tail."""
+    """Write three segments; the second is dropped, the first has a replaced tail."""
     storage.write((1, "c1"), entries(1, 9))
     audit.sync()
     storage.save_snapshot(Snapshot(3, 1, MEMBERS, b"state at 3"))
@@ -72,7 +72,7 @@
 
 
 def write_trail(storage, audit):
-    """A trail of several files, a good part of it after the snapshot."""
+    """Write an audit trail of several files, about half of it after the snapshot."""
     for index in range(1, 31):
         storage.write(None, [entry(index)])
         add_records(audit, index, index)
@@ -91,7 +91,7 @@
 
 
 def make(name, write):
-    """Make one folder; return what is recovered from it."""
+    """Make one data folder; return what this version recovers from it."""
     folder = OUT / name
     found_folder(folder, "c1", MEMBERS)
     storage, audit = Storage(folder, "c1"), AuditTrail(folder)
@@ -118,7 +118,7 @@
 
 
 def main():
-    """Make all folders anew."""
+    """Make all data folders again, and `expected.json`."""
     audit_module.MAX_FILE_BYTES = MAX_FILE_BYTES
     shutil.rmtree(OUT, ignore_errors=True)
     writers = (
@@ -132,7 +132,7 @@
     for write in writers:
         name = write.__name__.removeprefix("write_")
         expected[name] = make(name, write)
-    # That version took the replaced tail of the first segment for entries.
+    # That version recovers the replaced tail of the first segment as entries.
     expected["dropped"]["entries"] = []
     text = json.dumps(expected, indent=1)
     (OUT / "expected.json").write_text(text + "\n")
--- a/tests/regression.py
+++ b/tests/regression.py
@@ -1,9 +1,9 @@
-"""Plays the days that have to pass before a landing, one deployment at a time.
+"""Runs the simulated days that must pass before a merge, by deployment.
 
 usage: python -m tests.regression BENCH PAGES
 
-`BENCH` is the users' bench, `PAGES` the folder with their site files. Ends at
-the first deployment on which a day breaks a rule, with the exit code 1.
+`BENCH` is the users' bench, `PAGES` the folder with their site files. Stops with
+exit code 1 at the first deployment on which a day breaks a rule.
 """
 
 import subprocess
@@ -18,13 +18,14 @@
 
 @dataclass(frozen=True)
 class Hunt:
-    """Days of one deployment.
+    """The days to run on one deployment.
 
     `days`
-        Source: 40 on small deployments, 8 from 60 machines on.
+        Number of days: 40 on small deployments, 8 on those with 60 machines or
+        more.
     `jobs`
-        Days at once. Source: a day of the largest one takes 3.6 GB, and half of
-        the machine's memory is 12 GB.
+        Number of days that run at once. A day of the largest deployment takes
+        3.6 GB, and half of the machine's memory is 12 GB.
     """
 
     site: str
@@ -32,8 +33,8 @@
     jobs: int
 
 
-#: The deployments whose days are played; the two oldest small ones gave way to
-#: the large one once it passed its gate.
+#: The deployments whose days are run. The large one replaced the two oldest small
+#: ones when it passed its gate.
 HUNTS = (
     Hunt("further/vul-tapatia.toml", days=40, jobs=4),
     Hunt("further-grown/vul-tapatia-grown.toml", days=8, jobs=4),
@@ -44,7 +45,7 @@
 
 
 def main(bench: Path, pages: Path):
-    """Play the days that have to pass before a landing.
+    """Run the days that must pass before a merge.
 
     :param bench: the users' bench.
     :param pages: the folder with their site files.
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -1,4 +1,4 @@
-"""What a scenario knows: its cluster, its callers and its observers."""
+"""The state that the steps of a scenario share."""
 
 import json
 import threading
@@ -16,7 +16,7 @@
 
 
 class Observer:
-    """A thread that reads one thing again and again until stopped."""
+    """Reads one value repeatedly in a thread and checks each against the one before."""
 
     def __init__(self, read, check):
         self.read = read
@@ -47,14 +47,14 @@
 
 
 def check_versions(last, value):
-    """Yield the objects that vanished or whose version fell."""
+    """Yield the objects that disappeared or whose version decreased."""
     for name, version in (last or {}).items():
         if value.get(name, -1) < version:
             yield f"{name}: {version} then {value.get(name)}"
 
 
 def check_pools(last, value):
-    """Yield the VMs that are listed twice, or vanished."""
+    """Yield faults of the pools: VMs in two pools, in none, or no longer listed."""
     names = [name for name, _ in value]
     if len(names) != len(set(names)):
         yield "a VM in two pools"
@@ -66,7 +66,13 @@
 
 
 class Scene:
-    """One scenario's cluster and what it did."""
+    """The cluster of one scenario, with what its steps share.
+
+    `accepted`
+        `(name, version)` of the accepted changes by partner.
+    `saved_values`
+        Values that a step saves for later steps.
+    """
 
     def __init__(self):
         self.cluster = None
@@ -77,9 +83,7 @@
         self.refusal = None
         self.outcome = None
         self.stopped = []
-        self.marks = {}
-
-    # Life cycle.
+        self.saved_values = {}
 
     def start(self, **options):
         self.cluster = Cluster(**options)
@@ -109,12 +113,10 @@
         wait_for(lambda: self.count(run) >= target, 60, f"{more} more {run}")
 
     def verdict(self):
-        """Stop the callers and judge what they saw."""
+        """Stop the callers and return the `Verdict` on their results."""
         self.callers.stop()
         return self.callers.verdict(self.cluster.counts()["ran"])
 
-    # Operators.
-
     def put(self, partner, document):
         self.outcome = self.cluster.put(partner, document)
         return self.outcome
@@ -152,13 +154,15 @@
         return [name for name in self.cluster.counts()["reboots"] if name in names]
 
     def burst(self, partner, count):
-        """Send changes, each until it has an outcome, with one id.
+        """Send changes, each twice with one command id; save the outcomes.
 
-        They go to the replica that is cut off first, if there is one.
+        The replica that is cut off, if there is one, is called first.
         """
         client = self.cluster.client(partner)
-        if "cut" in self.marks:
-            client.preferred = self.cluster.replica_names.index(self.marks["cut"])
+        if "cut" in self.saved_values:
+            client.preferred = self.cluster.replica_names.index(
+                self.saved_values["cut"]
+            )
         for number in range(count):
             name = f"{partner[0]}-burst-{number}"
             body = {"id": uuid.uuid4().hex, "put": {"kind": "pool", "name": name}}
@@ -175,8 +179,6 @@
             thread.start()
         return threads
 
-    # Observers.
-
     def watch_versions(self):
         for address in self.http_of_replicas():
             self.observe(
@@ -200,13 +202,13 @@
             )
 
     def observe(self, read, check):
-        """Watch until the end; return once something was seen.
+        """Observe a value until the end; return after the first successful read.
 
-        What is watched may be killed in the next step.
+        The next step may kill the process that is read.
         """
         observer = Observer(read, check)
         self.observers.append(observer)
-        wait_for(lambda: observer.seen, what="a first look")
+        wait_for(lambda: observer.seen, what="a first read")
 
     def http_of_replicas(self):
         return [self.cluster.http_by_name[name] for name in self.cluster.replica_names]
@@ -218,7 +220,7 @@
         return status["version"]
 
     def read(self, address, kind):
-        """Read the objects of a kind at one replica, confirmed."""
+        """Return the objects of a kind by a confirmed read at one replica."""
         client = self.cluster.client("prescriptions")
         return client.call_replica(address, "GET", f"/v1/objects/{kind}")
 
@@ -228,8 +230,6 @@
         self.observers = []
         return faults
 
-    # Faults.
-
     def process(self, name):
         return self.cluster.process_by_name[name]
 
@@ -244,7 +244,7 @@
         self.cluster.wait_leader()
 
     def wait_other_leader(self, name):
-        """Wait until another replica than `name` leads."""
+        """Wait until a replica other than `name` leads."""
         others = [one for one in self.cluster.replica_names if one != name]
 
         def leads():
@@ -273,7 +273,7 @@
         return http_call(address, "GET", "/healthz")[0]
 
     def order(self, entry, key, body=b"order"):
-        """Send an order; return `(status, answer)`, or None without one."""
+        """Send an order; return `(status, answer)`, or None if no answer came."""
         try:
             status, _, data = self.cluster.request(
                 entry, "refill", key, body, key, method="POST"
--- a/tests/steps/__init__.py
+++ b/tests/steps/__init__.py
@@ -1,1 +1,1 @@
-"""Steps of the scenarios, by what they are about."""
+"""Steps of the scenarios, grouped by subject."""
--- a/tests/steps/beginning.py
+++ b/tests/steps/beginning.py
@@ -1,4 +1,4 @@
-"""What a scenario begins with."""
+"""Steps that set up a scenario."""
 
 from pytest_bdd import given, parsers
 
--- a/tests/steps/failure.py
+++ b/tests/steps/failure.py
@@ -1,4 +1,4 @@
-"""VMs and minions that fail."""
+"""Steps in which VMs, racks and minions fail."""
 
 from pytest_bdd import parsers, then, when
 
@@ -22,14 +22,14 @@
         vms = scene.cluster.objects("vm")
         return all(vms[name]["life"] == "lost" for name in names)
 
-    wait_for(are_lost, what="the loss to be seen")
+    wait_for(are_lost, what="the loss to be noticed")
     wait_for(lambda: down_now(scene, "prescriptions") == names, what="the last return")
-    scene.marks["reboots"] = len(scene.reboots_of("prescriptions"))
+    scene.saved_values["reboots"] = len(scene.reboots_of("prescriptions"))
 
 
 @then("no VM of prescriptions is rebooted while the rack is lost")
 def none_rebooted_since(scene):
-    assert len(scene.reboots_of("prescriptions")) == scene.marks["reboots"]
+    assert len(scene.reboots_of("prescriptions")) == scene.saved_values["reboots"]
 
 
 @when(parsers.parse("the rack {rack} comes back"))
--- a/tests/steps/operator.py
+++ b/tests/steps/operator.py
@@ -1,4 +1,4 @@
-"""What operators do."""
+"""Steps in which operators act."""
 
 import threading
 
@@ -28,7 +28,7 @@
 
 
 def down_now(scene, partner):
-    """Return the VMs of a partner that are down."""
+    """Return the names of a partner's VMs that are down."""
     vms = scene.cluster.objects("vm").values()
     return [
         vm["name"] for vm in vms if vm["partner"] == partner and vm["life"] != "live"
@@ -36,7 +36,7 @@
 
 
 def check_shrinking(budget):
-    """Return a check that nobody goes down above the budget."""
+    """Return a check that no further VM goes down while the budget is exceeded."""
 
     def check(last, value):
         added = set(value) - set(last if last is not None else value)
@@ -58,7 +58,7 @@
     parsers.parse("both partners send {count:d} changes each, resending lost answers")
 )
 def burst(scene, count):
-    scene.marks["threads"] = scene.burst_both(count)
+    scene.saved_values["threads"] = scene.burst_both(count)
 
 
 @when("both partners relabel VMs in a race, resending every command")
@@ -75,10 +75,10 @@
                     assert error.code == "forbidden"
                     assert partner == "journeys"
 
-    scene.marks["threads"] = [
+    scene.saved_values["threads"] = [
         threading.Thread(target=relabel, args=(partner,)) for partner in PARTNERS
     ]
-    for thread in scene.marks["threads"]:
+    for thread in scene.saved_values["threads"]:
         thread.start()
 
 
@@ -93,7 +93,7 @@
 def lose_disk(scene):
     leader = scene.cluster.wait_leader()
     name = next(one for one in scene.cluster.replica_names if one != leader)
-    scene.marks["lost"] = name
+    scene.saved_values["lost"] = name
     scene.process(name).kill()
     folder = scene.cluster.folder / f"data-{name}"
     for path in folder.iterdir():
@@ -104,7 +104,7 @@
 
 @when("an operator replaces the lost replica by the new one")
 def replace_replica(scene):
-    name = scene.marks["lost"]
+    name = scene.saved_values["lost"]
     identity = scene.status_of(name)["identity"]
     address = scene.cluster.rpc_by_name[name]
     hall = scene.status_of(name)["hall"]
@@ -126,7 +126,7 @@
 
 
 def run_admin(scene, *arguments):
-    """Run the operators' program until it succeeds; it may ask a follower."""
+    """Run the command line until it succeeds; a call to a follower may fail."""
     wait_for(
         lambda: scene.cluster.admin("prescriptions", *arguments).returncode == 0,
         what=" ".join(arguments),
--- a/tests/steps/outcome.py
+++ b/tests/steps/outcome.py
@@ -1,4 +1,4 @@
-"""What must hold at the end."""
+"""Steps that check the outcome of a scenario."""
 
 from collections import Counter
 
@@ -77,8 +77,8 @@
 
 @then("no caller got another's answer or half of one")
 def no_wrong_answer(scene):
-    scene.marks["verdict"] = scene.verdict()
-    assert scene.marks["verdict"].wrong_answer == 0
+    scene.saved_values["verdict"] = scene.verdict()
+    assert scene.saved_values["verdict"].wrong_answer == 0
 
 
 @then(parsers.parse("repeatable requests were answered whole in {part:d} of 100 cases"))
@@ -106,14 +106,14 @@
 @then("every order ran exactly once")
 def orders_ran_once(scene):
     ran = scene.cluster.counts()["ran"]
-    assert {key: ran.get(key) for key in scene.marks["orders"]} == dict.fromkeys(
-        scene.marks["orders"], 1
+    assert {key: ran.get(key) for key in scene.saved_values["orders"]} == dict.fromkeys(
+        scene.saved_values["orders"], 1
     )
 
 
 @then("every whole answer to an order was the same")
 def same_answers(scene):
-    for answers in scene.marks["orders"].values():
+    for answers in scene.saved_values["orders"].values():
         whole = {str(one[1]) for one in answers if one and one[0] == 200}
         assert len(whole) == 1
 
@@ -189,16 +189,16 @@
 
 @then("every accepted change is there once")
 def all_there(scene):
-    for thread in scene.marks["threads"]:
+    for thread in scene.saved_values["threads"]:
         thread.join()
-    full = scene.marks.get("full")
+    full = scene.saved_values.get("full")
     for name in scene.cluster.replica_names:
         if scene.process(name).is_running() and name != full:
             check_accepted(scene, scene.cluster.http_by_name[name])
 
 
 def check_accepted(scene, address):
-    """Check at one replica that every accepted change is there."""
+    """Check that every accepted change is present at one replica."""
     pools = {row["name"]: row for row in read_when_ready(scene, address)}
     for partner in PARTNERS:
         assert scene.accepted[partner]
@@ -209,7 +209,7 @@
 
 
 def read_when_ready(scene, address):
-    """Return the pools at one replica, once it can confirm a read."""
+    """Return the pools at one replica as soon as it confirms a read."""
     found = []
 
     def is_read():
@@ -225,12 +225,12 @@
 
 @then("the replica with the full disk is not healthy")
 def full_disk_is_unhealthy(scene):
-    wait_for(lambda: scene.healthz(scene.marks["full"]) == 503)
+    wait_for(lambda: scene.healthz(scene.saved_values["full"]) == 503)
 
 
 @then("the replica with the full disk catches up and is healthy")
 def full_disk_recovers(scene):
-    name = scene.marks["full"]
+    name = scene.saved_values["full"]
     leader = scene.cluster.wait_leader()
     wait_for(lambda: scene.status_of(leader), what="the leader's status")
     target = scene.status_of(leader)["commit_index"]
@@ -253,14 +253,14 @@
 
 @then("a read at the woken replica shows the change")
 def read_at_woken(scene):
-    address = scene.cluster.http_by_name[scene.marks["frozen"]]
+    address = scene.cluster.http_by_name[scene.saved_values["frozen"]]
     rows = {row["name"]: row for row in scene.read(address, "service")}
     assert rows["eligibility"]["deadline_ms"] == 1234
 
 
 @then("a read at the cut replica is refused or shows the change")
 def read_at_cut(scene):
-    address = scene.cluster.http_by_name[scene.marks["cut"]]
+    address = scene.cluster.http_by_name[scene.saved_values["cut"]]
     try:
         rows = {row["name"]: row for row in scene.read(address, "service")}
     except HingepitchError as error:
@@ -282,8 +282,8 @@
 
 @then("the emptied replica has a new identity and no vote")
 def new_identity(scene):
-    status = scene.status_of(scene.marks["lost"])
-    assert status["identity"] != scene.marks["lost"]
+    status = scene.status_of(scene.saved_values["lost"])
+    assert status["identity"] != scene.saved_values["lost"]
     assert status["members"] == []
     assert status["role"] == "follower"
 
@@ -296,4 +296,4 @@
             return False
         return leader["losses_left"] == count and len(leader["members"]) == 3
 
-    wait_for(stands, what="the group to stand a loss")
+    wait_for(stands, what="the group to tolerate that many losses")
--- a/tests/steps/process.py
+++ b/tests/steps/process.py
@@ -1,4 +1,4 @@
-"""Processes that are killed, frozen, cut off or stopped."""
+"""Steps that kill, freeze, cut off or stop processes, or fill a disk."""
 
 import resource
 import signal
@@ -10,52 +10,56 @@
 
 @when("the leader is killed")
 def kill_leader(scene):
-    scene.marks["leader"] = scene.cluster.wait_leader()
-    scene.process(scene.marks["leader"]).kill()
+    scene.saved_values["leader"] = scene.cluster.wait_leader()
+    scene.process(scene.saved_values["leader"]).kill()
 
 
 @when("the leader is killed in the middle")
 def kill_leader_in_the_middle(scene):
     kill_leader(scene)
-    for thread in scene.marks["threads"]:
+    for thread in scene.saved_values["threads"]:
         thread.join()
 
 
 @when("the leader is frozen")
 def freeze_leader(scene):
-    scene.marks["frozen"] = scene.cluster.wait_leader()
-    scene.process(scene.marks["frozen"]).signal(signal.SIGSTOP)
+    scene.saved_values["frozen"] = scene.cluster.wait_leader()
+    scene.process(scene.saved_values["frozen"]).signal(signal.SIGSTOP)
 
 
 @when("the leader is cut off")
 def cut_leader(scene):
-    scene.marks["cut"] = scene.cluster.wait_leader()
-    scene.cluster.cut_off(scene.marks["cut"])
+    scene.saved_values["cut"] = scene.cluster.wait_leader()
+    scene.cluster.cut_off(scene.saved_values["cut"])
 
 
 @when("the cut replica is reconnected")
 def reconnect_replica(scene):
-    for thread in scene.marks["threads"]:
+    for thread in scene.saved_values["threads"]:
         thread.join()
-    scene.cluster.reconnect(scene.marks["cut"])
+    scene.cluster.reconnect(scene.saved_values["cut"])
 
 
 @when("a replica takes over")
 def other_leader(scene):
-    marks = scene.marks
-    gone = marks.get("frozen") or marks.get("cut") or marks.get("leader")
+    saved_values = scene.saved_values
+    gone = (
+        saved_values.get("frozen")
+        or saved_values.get("cut")
+        or saved_values.get("leader")
+    )
     scene.wait_other_leader(gone)
 
 
 @when("the frozen replica is woken")
 @when("the frozen planner is woken")
 def wake(scene):
-    scene.process(scene.marks["frozen"]).signal(signal.SIGCONT)
+    scene.process(scene.saved_values["frozen"]).signal(signal.SIGCONT)
 
 
 @when("all replicas are killed and started again")
 def restart_all(scene):
-    for thread in scene.marks.get("threads", ()):
+    for thread in scene.saved_values.get("threads", ()):
         thread.join()
     scene.restart_all()
 
@@ -76,18 +80,18 @@
     scene.wait_reboots(count)
     names = scene.cluster.planner_names
     wait_for(lambda: any(plans(scene, name) for name in names))
-    scene.marks["frozen"] = next(name for name in names if plans(scene, name))
-    scene.process(scene.marks["frozen"]).signal(signal.SIGSTOP)
+    scene.saved_values["frozen"] = next(name for name in names if plans(scene, name))
+    scene.process(scene.saved_values["frozen"]).signal(signal.SIGSTOP)
 
 
 @when("another planner takes over")
 def other_planner(scene):
-    others = set(scene.cluster.planner_names) - {scene.marks["frozen"]}
+    others = set(scene.cluster.planner_names) - {scene.saved_values["frozen"]}
     wait_for(lambda: any(plans(scene, name) for name in others), 20)
 
 
 def plans(scene, name):
-    """Whether a planner says that it plans; one that is silent does not."""
+    """Whether a planner reports that it plans; False if it does not respond."""
     status = scene.status_of(name)
     return bool(status and status["plans"])
 
@@ -126,7 +130,7 @@
 @when("the disk of the leader is full")
 def fill_disk(scene):
     name = scene.cluster.wait_leader()
-    scene.marks["full"] = name
+    scene.saved_values["full"] = name
     segments = (scene.cluster.folder / f"data-{name}").glob("segment-*")
     size = max(path.stat().st_size for path in segments)
     limit_file_size(scene, size)
@@ -138,6 +142,6 @@
 
 
 def limit_file_size(scene, size):
-    """Let the marked replica write no file beyond `size` bytes."""
-    pid = scene.process(scene.marks["full"]).popen.pid
+    """Limit the files of the replica with the full disk to `size` bytes."""
+    pid = scene.process(scene.saved_values["full"]).popen.pid
     resource.prlimit(pid, resource.RLIMIT_FSIZE, (size, resource.RLIM_INFINITY))
--- a/tests/steps/request.py
+++ b/tests/steps/request.py
@@ -1,4 +1,4 @@
-"""Requests of callers, and what they are told."""
+"""Steps in which callers send requests and orders."""
 
 import threading
 
@@ -36,15 +36,15 @@
     )
 )
 def send_orders(scene, orders, times):
-    scene.marks["orders"] = {f"order-{number}": [] for number in range(orders)}
+    scene.saved_values["orders"] = {f"order-{number}": [] for number in range(orders)}
 
     def send(entry, key):
         for _ in range(times):
-            scene.marks["orders"][key].append(scene.order(entry, key))
+            scene.saved_values["orders"][key].append(scene.order(entry, key))
 
     threads = [
         threading.Thread(target=send, args=(entry, key), daemon=True)
-        for key in scene.marks["orders"]
+        for key in scene.saved_values["orders"]
         for entry in scene.entries
     ]
     for number, thread in enumerate(threads):
@@ -57,8 +57,8 @@
 
 
 def settle_orders(scene):
-    """Send every order until it has its answer."""
-    for key, answers in scene.marks["orders"].items():
+    """Send every order until it is answered."""
+    for key, answers in scene.saved_values["orders"].items():
         wait_for(
             lambda key=key, answers=answers: (
                 answers.append(scene.order("e1", key)) or answers[-1][0] == 200
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""The pages and the tests name the same promises."""
+"""Consistency of the docs, the scenarios, the planted faults and the code."""
 
 import re
 from pathlib import Path
@@ -23,7 +23,7 @@
 
 
 def scenarios_by_tag():
-    """Return the names of the scenarios under each tag."""
+    """Return the names of the scenarios by tag."""
     found = {}
     for path in (ROOT / "tests" / "features").glob("*.feature"):
         of_feature, tags = [], []
@@ -62,7 +62,7 @@
 
 
 def names_in_code(pattern):
-    """Return what `pattern` finds in the code of the product."""
+    """Return the matches of `pattern` in the source of `hingepitch`."""
     found = set()
     for path in (ROOT / "hingepitch").rglob("*.py"):
         if "gen" not in path.relative_to(ROOT).parts:
--- a/tests/test_scenarios.py
+++ b/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""The promises under failure, on real processes; the steps are in `tests/steps`."""
+"""The promises during failures of real processes; `tests/steps` has the steps."""
 
 import pytest
 from pytest_bdd import scenarios
