--- a/hingepitch/jobs/explain.py
+++ b/hingepitch/jobs/explain.py
@@ -34,7 +34,7 @@
 def job_reasons(table, job):
     """Yield the reasons for the state of a job, one line for each."""
     if not job.is_open:
-        yield f"the job is {job.status.value}: {job.failure or 'no failure recorded'}"
+        yield f"the job is {job.status.value}: {job.failure or 'no failure noted'}"
         return
     for key in table.ready_steps:
         if key[0] == job.id:
@@ -63,7 +63,7 @@
     silent = table.crashes.silent_exposed[task]
     text = f"{format_task(task)}: {crashes} minions crashed under it"
     if silent:
-        text += f", {silent} more are unresponsive"
+        text += f", {silent} more are silent"
     if table.crashes.suspicion(task) is Suspicion.BARRED:
-        return f"{text}; it waits until it is known whether these crashed"
+        return f"{text}; it waits until these have spoken"
     return f"{text}; it starts apart from others"
