--- a/standin/site.py
+++ b/standin/site.py
@@ -259,7 +259,7 @@
             return []
         return [one["identity"] for one in status["members"] if one["voter"]]
 
-    def whole_group(self, lost=()):
+    def complete_group(self, lost=()):
         """Return the identities of the voters by their addresses, if all are there.
 
         None while one is missing, or being replaced.
--- a/tests/test_site_power.py
+++ b/tests/test_site_power.py
@@ -11,7 +11,7 @@
 import time
 
 from soak.caller import Caller
-from soak.judge import check_logs, check_processes, check_tasks
+from soak.checks import check_logs, check_processes, check_tasks
 from soak.operator import ConfigReader, ConfigWriter
 from soak.record import Record
 from standin.cluster import wait_for
@@ -123,16 +123,18 @@
 def lose_two_disks_and_power_of_the_others(seed):
     with PowerLossHarness(seed) as harness:
         harness.start_clients()
-        wait_for(harness.site.whole_group, what="the group")
+        wait_for(harness.site.complete_group, what="the group")
         lost = harness.rng.sample(harness.site.control_ips, 2)
-        before = harness.site.whole_group()
+        before = harness.site.complete_group()
         gone = {before[ip] for ip in lost}
         harness.wait_for_changes()
         harness.wait_for_changes(1)
         harness.lose_all_power(excluded=lost)
         harness.restart()
         harness.wait_for_service()
-        wait_for(lambda: harness.site.whole_group(gone), FINISH_SECONDS, "new replicas")
+        wait_for(
+            lambda: harness.site.complete_group(gone), FINISH_SECONDS, "new replicas"
+        )
         harness.finish_and_check()
 
 
