--- a/standin/bench.py
+++ b/standin/bench.py
@@ -2,7 +2,7 @@
 standin.bench
 ~~~~~~~~~~~~~
 
-The measurements as tables of ratios, against baselines in the same
+Benchmarks, printed as tables of ratios to baselines measured in the same
 run.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
@@ -47,10 +47,12 @@
 
 
 class ClosedLoop:
-    """Workers that each call a function again and again, timed.
+    """Workers that each call a function repeatedly and time each call.
 
+    `workers`
+        Number of workers.
     `work`
-        Function of the worker's number; returns whether it went well.
+        Function of the worker's number; returns whether the call succeeded.
     """
 
     def __init__(self, workers, work):
@@ -62,9 +64,9 @@
         self.seconds = 0.0
 
     def run(self, seconds=RUN_SECONDS, count=None):
-        """Run for a time, or until `count` calls are done."""
+        """Run for some seconds, or until `count` calls are made; return self."""
         started = time.monotonic()
-        self.left = count
+        self.remaining = count
         group = Group()
         for number in range(self.workers):
             group.spawn(self.loop, number, started + seconds)
@@ -73,10 +75,10 @@
         return self
 
     def loop(self, number, until):
-        """Call until the time is over or the count is reached."""
-        while time.monotonic() < until and self.left != 0:
-            if self.left is not None:
-                self.left -= 1
+        """Call until the monotonic time `until` or until the count is reached."""
+        while time.monotonic() < until and self.remaining != 0:
+            if self.remaining is not None:
+                self.remaining -= 1
             before = time.monotonic()
             good = self.work(number)
             self.histogram.record_value(int((time.monotonic() - before) * 1e6) + 1)
@@ -84,17 +86,23 @@
             self.failed += not good
 
     def at(self, percentile):
-        """Return a percentile in milliseconds."""
+        """Return a percentile of the call durations in milliseconds."""
         return self.histogram.get_value_at_percentile(percentile) / 1000
 
     @property
     def rate(self):
-        """Calls a second."""
+        """Calls per second."""
         return self.done / self.seconds
 
 
-def caller(address, prefix):
-    """Return the work of a caller at `address`, a connection for each worker."""
+def make_caller(address, prefix):
+    """Return a work function that sends requests, one connection per worker.
+
+    `address`
+        `IP:port` of an entry or a minion.
+    `prefix`
+        Prefix of the request path.
+    """
     connections_by_worker = {}
 
     def work(number):
@@ -117,16 +125,16 @@
 
 
 def bench_entry(cluster):
-    """Compare a request through an entry with one straight to a minion."""
+    """Compare requests through an entry with requests sent to a minion directly."""
     rows = []
     vm = cluster.vm_documents[0]
     straight = f"{vm['ip']}:{cluster.service_ports['prescriptions']}"
     entry = cluster.http_by_name["e1"]
     pid = cluster.process_by_name["e1"].popen.pid
     for connections in CONNECTIONS:
-        base = ClosedLoop(connections, caller(straight, "")).run()
+        base = ClosedLoop(connections, make_caller(straight, "")).run()
         before = cpu_seconds(pid)
-        through = ClosedLoop(connections, caller(entry, "/s/eligibility")).run()
+        through = ClosedLoop(connections, make_caller(entry, "/s/eligibility")).run()
         used = cpu_seconds(pid) - before
         rows.append(
             (
@@ -150,9 +158,9 @@
 
 
 def bench_memory(cluster):
-    """Show that an entry does not grow with requests."""
+    """Measure whether the memory of an entry grows with requests."""
     pid = cluster.process_by_name["e2"].popen.pid
-    work = caller(cluster.http_by_name["e2"], "/s/eligibility")
+    work = make_caller(cluster.http_by_name["e2"], "/s/eligibility")
     rows = [("idle", f"{resident_bytes(pid) / 1e6:.1f}")]
     for part in (1, 2):
         ClosedLoop(32, work).run(120, MEMORY_REQUESTS // 2)
@@ -164,7 +172,7 @@
 
 
 def local_append(count):
-    """Return the loop of one synced append after another, one replica."""
+    """Return the finished loop of sequential synced appends to a local log."""
     with tempfile.TemporaryDirectory(prefix="hingepitch-") as folder:
         found_folder(folder, "c1", (Member("c1", "c1", "127.0.0.1:1", "h"),))
         storage = Storage(folder, "c1")
@@ -182,7 +190,7 @@
 
 
 def bench_commits(cluster):
-    """Compare committed commands with a local synced append."""
+    """Compare the commit of commands with a synced append to a local log."""
     addresses = [cluster.rpc_by_name[name] for name in cluster.replica_names]
     base = local_append(COMMITS)
     rows = []
@@ -217,7 +225,7 @@
 
 
 def bench_leader_loss(cluster):
-    """Time until a command is accepted after the leader is gone."""
+    """Measure the time without a leader after the leader is killed or frozen."""
     rows = []
     for kind in ("killed", "frozen"):
         seconds = sorted(lose_leader(cluster, kind) for _ in range(TRIALS))
@@ -227,7 +235,10 @@
 
 
 def lose_leader(cluster, kind):
-    """Lose the leader; return the seconds until another one leads."""
+    """Kill or freeze the leader, and restart or resume it at the end.
+
+    Returns the seconds until another replica is leader.
+    """
     import signal
 
     name = cluster.wait_leader()
@@ -254,7 +265,7 @@
 
 
 def bench_in_force(cluster):
-    """Time from accepted to in force, with all entries."""
+    """Measure the time from the acceptance of a change until all entries apply it."""
     client = cluster.client("prescriptions")
     vm = cluster.vm_documents[0]
 
@@ -274,7 +285,7 @@
 
 
 def bench_goodput(cluster):
-    """Goodput under overload, with one slow, one failing, one hanging minion."""
+    """Measure goodput under overload with a slow, a failing and a hanging minion."""
     names = [vm["name"] for vm in cluster.vm_documents[:8]]
     service = cluster.services()[0][1]
     cluster.put("prescriptions", {**service, "slots": 2, "deadline_ms": 1000})
@@ -322,7 +333,7 @@
 
 
 def main():
-    """Run everything, or the parts named as arguments."""
+    """Run all benchmarks, or those named as arguments."""
     configure_log("bench", "ERROR")
     wanted = sys.argv[1:] or [*CLUSTER_BENCHES, "waves"]
     for name in wanted:
--- a/standin/callers.py
+++ b/standin/callers.py
@@ -2,8 +2,8 @@
 standin.callers
 ~~~~~~~~~~~~~~~
 
-Callers that send bounded load from threads, and the judge of what came
-of it.
+Callers that send closed-loop load from threads and check the results
+against what the minions ran.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -20,11 +20,17 @@
 
 @dataclass(slots=True)
 class Result:
-    """What one request came to.
+    """The result of one request.
 
     `run`
-        `whole`, `not_run`, `unknown`, `wrong` (another's answer) or `none`
-        when the entry itself did not answer.
+        `whole` (complete answer), `not_run`, `unknown`, `wrong` (the answer of
+        another request) or `none` if the entry itself did not answer.
+    `status`, `code`
+        HTTP status, 0 without an answer, and error code.
+    `vm`
+        VM of the minion that answered.
+    `seconds`, `at`
+        Duration, and monotonic time of the end.
     """
 
     name: str
@@ -39,7 +45,15 @@
 
 @dataclass(slots=True)
 class Verdict:
-    """The sums over all results, judged by what the minions counted."""
+    """Counts over all results, checked against what the minions ran.
+
+    `ran_twice`
+        Requests of non-repeatable services that ran more than once.
+    `not_run_but_ran`
+        Requests refused as not run that did run.
+    `codes`
+        Number of refusals by error code.
+    """
 
     sent: int = 0
     answered_whole: int = 0
@@ -52,7 +66,7 @@
     codes: dict[str, int] = field(default_factory=dict)
 
     def broken(self):
-        """Return the names of the promises that were broken."""
+        """Return the names of the violated guarantees."""
         return [
             name
             for name in ("wrong_answer", "ran_twice", "not_run_but_ran")
@@ -61,14 +75,14 @@
 
 
 class Callers:
-    """Threads that send requests one after another until stopped.
+    """Threads that each send one request after another until stopped.
 
     `addresses`
         `IP:port` of the entries.
     `services`
-        Names of services and whether each is repeatable.
+        Pairs of a service's name and whether it is repeatable.
     `threads`
-        How many callers. Default: 8.
+        Number of callers. Default: 8.
     """
 
     def __init__(self, addresses, services, threads=8):
@@ -82,19 +96,19 @@
         self.results = []
 
     def start(self):
-        """Start all callers."""
+        """Start all callers; return this object."""
         for thread in self.threads:
             thread.start()
         return self
 
     def stop(self):
-        """Stop all callers and wait for their last answers."""
+        """Stop all callers and wait until their last requests end."""
         self.stopping.set()
         for thread in self.threads:
             thread.join()
 
     def run(self, number):
-        """Send requests until stopped."""
+        """Send requests to the entries and services in turn until stopped."""
         connections = {}
         count = 0
         while not self.stopping.is_set():
@@ -123,10 +137,10 @@
         except (OSError, HTTPException):
             connections.pop(address).close()
             return self.result(name, service, "none", 0, "", "", started)
-        return self.judge_answer(name, service, response.status, body, started)
+        return self.classify_answer(name, service, response.status, body, started)
 
-    def judge_answer(self, name, service, status, body, started):
-        """Return the `Result` of an answer."""
+    def classify_answer(self, name, service, status, body, started):
+        """Return the `Result` for an answer; check that it echoes this request."""
         try:
             answer = json.loads(body)
         except ValueError:
@@ -140,12 +154,16 @@
         return self.result(name, service, run, status, "", answer["vm"], started)
 
     def result(self, name, service, run, status, code, vm, started):
-        """Return a `Result` with its times."""
+        """Return a `Result` that ends now."""
         now = time.monotonic()
         return Result(name, service, run, status, code, vm, now - started, now)
 
     def verdict(self, ran_by_name):
-        """Judge all results by what the minions really ran."""
+        """Return the `Verdict` on all results.
+
+        `ran_by_name`
+            How often the minions ran each request.
+        """
         verdict = Verdict(sent=len(self.results))
         unrepeatable = {name for name, repeatable in self.services if not repeatable}
         for result in self.results:
--- a/standin/capacity.py
+++ b/standin/capacity.py
@@ -2,8 +2,8 @@
 standin.capacity
 ~~~~~~~~~~~~~~~~
 
-Slopes for docs/CAPACITY.md, measured on small stand-ins in bounded
-time.
+Measures the slopes for docs/CAPACITY.md on small clusters and fleets in
+bounded time.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -35,18 +35,18 @@
 from hingepitch.planner.placement import plan_jobs
 from hingepitch.planner.wave import plan_drains, plan_health, plan_moves, plan_wave
 from standin.cluster import Cluster
-from standin.fleet import HALLS, POOLS, TEAMS, VMS, FleetBuilder, letter_fleet
+from standin.fleet import HALLS, POOLS, TEAMS, VMS, FleetBuilder, full_size_fleet
 from standin.measure import (
     best_seconds,
     cpu_seconds,
     fit_slope,
+    format_short,
     print_table,
     resident_bytes,
-    short,
 )
 
 REPORT = Path("build/capacity.json")
-PARTS = (0.05, 0.2, 0.5, 1.0)
+FRACTIONS = (0.05, 0.2, 0.5, 1.0)
 IDLE_SECONDS = 6.0
 ENTRY_COUNTS = (2, 4, 6, 8)
 CHANGE_RATES = (5, 10, 20, 40)
@@ -57,7 +57,7 @@
 
 
 def measure_records():
-    """Yield slopes of state and snapshot bytes for each kind of record."""
+    """Yield slopes of memory and snapshot bytes for each kind of record."""
     adders = {
         "vm": lambda builder, number: builder.add_vm(number, 10),
         "job": lambda builder, number: builder.add_job(number, 10, 20),
@@ -86,7 +86,7 @@
 
 
 def measure_planning():
-    """Yield slopes of a planning pass and of following, against VMs."""
+    """Yield slopes of planning, snapshots and replication against VMs."""
     titles = (
         ("a pass over waves, drains, moves, health", "ms"),
         ("a pass over one touched pool", "ms"),
@@ -95,14 +95,18 @@
         ("a full copy for an entry", "bytes"),
         ("a full copy taken by an entry", "ms"),
     )
-    columns = zip(*(planning_points(part) for part in PARTS), strict=True)
+    columns = zip(*(planning_points(part) for part in FRACTIONS), strict=True)
     for (name, unit), points in zip(titles, columns, strict=True):
         yield fit_slope(name, unit, points)
 
 
 def planning_points(part):
-    """Return a point for each slope of `measure_planning`."""
-    builder = letter_fleet(part)
+    """Return a point for each slope of `measure_planning`.
+
+    `part`
+        Size of the fleet as a fraction of the full-size fleet.
+    """
+    builder = full_size_fleet(part)
     vms = len(builder.state.by_kind["vm"])
     view = builder.view()
     builder.add_campaigns()
@@ -127,7 +131,7 @@
 
 
 def plan_fleet(builder, view, pools):
-    """Make one plan of everything but jobs, for some pools."""
+    """Plan health, drains, moves and waves once; the latter two for `pools`."""
     state = builder.state
     list(plan_health(state, view, 0.0, 2.0))
     list(plan_drains(state, view))
@@ -136,17 +140,17 @@
 
 
 def plan_placement(builder):
-    """Make one plan of the waiting jobs."""
+    """Plan the placement of the waiting jobs once."""
     list(plan_jobs(builder.state, lambda vm: False, builder.pools()))
 
 
 def apply_changes(data, version):
-    """Take a full copy of the state."""
+    """Decode a full copy of the state and apply it to an empty state."""
     State().apply_changes(decode_changes(data), version, True)
 
 
-def relabel(number):
-    """Return the payload of a change of one VM."""
+def relabel_payload(number):
+    """Return the log payload of a command that changes the labels of one VM."""
     vm = commands.PutVm(
         f"vm-{number % 300}",
         f"pool-{number % 300 % 10}",
@@ -162,7 +166,7 @@
 
 
 def measure_catch_up():
-    """Yield the slope of recovering a log after a restart."""
+    """Yield slopes of log recovery time and log size against entries."""
     seconds, sizes = [], []
     for count in BACKLOGS:
         with tempfile.TemporaryDirectory(prefix="hingepitch-") as folder:
@@ -170,7 +174,7 @@
             storage = Storage(folder, "c1")
             storage.open()
             entries = [
-                Entry(index, 1, EntryKind.COMMAND, relabel(index))
+                Entry(index, 1, EntryKind.COMMAND, relabel_payload(index))
                 for index in range(1, count + 1)
             ]
             storage.write(None, entries)
@@ -182,7 +186,7 @@
 
 
 def recover(folder):
-    """Read a log and apply it."""
+    """Read the log in a folder and apply it."""
     builder = FleetBuilder()
     for number in range(10):
         builder.add_pool(number)
@@ -196,13 +200,13 @@
 
 
 class CpuMeter:
-    """Processor time of some processes over a while, as part of a core."""
+    """Measures the CPU time of processes as a fraction of a core."""
 
     def __init__(self, cluster, names):
         self.pids = {name: cluster.process_by_name[name].popen.pid for name in names}
 
     def run(self, work):
-        """Call `work`; return the seconds and the part of a core by name."""
+        """Call `work`; return its duration and the fractions of a core by name."""
         before = {name: cpu_seconds(pid) for name, pid in self.pids.items()}
         started = time.monotonic()
         work()
@@ -214,12 +218,12 @@
 
 
 def count_bytes(cluster, name):
-    """Return the bytes that passed the relays of a process."""
+    """Return the bytes that the relays of a process have forwarded."""
     return sum(relay.bytes_passed for relay in cluster.relays_of(name))
 
 
 def measure_idle():
-    """Yield slopes of idle processor time and bytes against entries."""
+    """Yield slopes of idle CPU time and network traffic against entries."""
     leader_cpu, leader_bytes, follower_cpu, entry_cpu, entry_bytes = (
         [] for _ in "12345"
     )
@@ -249,7 +253,7 @@
 
 
 def measure_changes():
-    """Yield slopes against changes a second, with 8 entries."""
+    """Yield slopes against changes per second, with 8 entries."""
     leader_cpu, entry_cpu, entry_bytes, lags = [], [], [], []
     with Cluster(entries=8, planners=0, with_relays=True) as cluster:
         cluster.start()
@@ -262,7 +266,7 @@
             leader_cpu.append((rate, 100 * cpu[leader]))
             entry_cpu.append((rate, 100 * cpu["e1"]))
             entry_bytes.append((rate, passed / seconds))
-            lags.append((rate, lag_seconds(cluster)))
+            lags.append((rate, measure_delay(cluster)))
     yield fit_slope("leader against changes/s, 8 entries", "% core", leader_cpu)
     yield fit_slope("entry against changes/s", "% core", entry_cpu)
     yield fit_slope("entry against changes/s", "bytes/s", entry_bytes)
@@ -270,7 +274,7 @@
 
 
 def send_changes(cluster, rate):
-    """Send relabels at a rate for a while."""
+    """Change the labels of VMs at a rate, per second, for `RATE_SECONDS`."""
     client = cluster.client("prescriptions")
     started = time.monotonic()
     for number in range(int(rate * RATE_SECONDS)):
@@ -279,19 +283,22 @@
         client.command(put={**vm, "labels": {**vm["labels"], "n": f"v{number}"}})
 
 
-def lag_seconds(cluster):
-    """Return the time from accepted to in force of one change."""
+def measure_delay(cluster):
+    """Make a change; return the seconds from its acceptance until in force.
+
+    Raises `TimeoutError` if the wait times out.
+    """
     client = cluster.client("prescriptions")
     vm = cluster.vm_documents[0]
     outcome = client.command(put={**vm, "labels": {**vm["labels"], "n": "last"}})
     started = time.monotonic()
     if not client.wait_in_force(outcome["version"]):
-        raise TimeoutError("a change was not in force in 10 s")
+        raise TimeoutError("timed out after 10 s waiting for a change to be in force")
     return time.monotonic() - started
 
 
 def measure_requests():
-    """Yield slopes of an entry against requests and connections."""
+    """Yield slopes of an entry's CPU time and memory against its load."""
     from hingepitch.load.generator import LoadTest
     from hingepitch.load.mix import MIX_BY_NAME
 
@@ -318,7 +325,7 @@
 
 
 def open_connection(address):
-    """Open a connection that has had one answer."""
+    """Open a connection on which one request has been answered."""
     connection = HTTPConnection(address, timeout=5)
     connection.request("GET", "/healthz")
     connection.getresponse().read()
@@ -326,16 +333,19 @@
 
 
 def report(slopes):
-    """Print the slopes and write them as JSON."""
+    """Print the slopes and write them to `REPORT` as JSON."""
     rows = [
         (
             slope.name,
             slope.unit,
-            short(slope.per_unit),
-            short(slope.base),
+            format_short(slope.per_unit),
+            format_short(slope.base),
             f"{slope.fit:.3f}",
             f"{slope.spread:.0%}",
-            " ".join(f"{short(size)}:{short(value)}" for size, value in slope.points),
+            " ".join(
+                f"{format_short(size)}:{format_short(value)}"
+                for size, value in slope.points
+            ),
         )
         for slope in slopes
     ]
--- a/standin/client.py
+++ b/standin/client.py
@@ -2,8 +2,8 @@
 standin.client
 ~~~~~~~~~~~~~~
 
-Clients that keep their connections open until the process at their other end
-is gone, and call in a thread of their own.
+Clients with persistent connections and failover, each calling in its own
+thread.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -13,19 +13,21 @@
 import traceback
 from http.client import HTTPConnection, HTTPException
 
-__all__ = ["Client", "Link"]
+__all__ = ["Client", "FailoverLink"]
 
-#: Pause after a call that was not served.
-UNSERVED_SECONDS = 0.05
+#: Pause of a client after a call that was not served.
+RETRY_PAUSE_SECONDS = 0.05
 
 
-class Link:
-    """Calls processes that can stand for each other, the last good one first.
+class FailoverLink:
+    """Calls one of several interchangeable processes, with failover.
+
+    A connection stays open until a call on it fails.
 
     `addresses`
-        Where they take calls.
+        `IP:port` of the processes.
     `seconds`
-        Longest wait for an answer.
+        Timeout of a call.
     """
 
     def __init__(self, addresses, seconds):
@@ -35,9 +37,10 @@
         self.lock = threading.Lock()
 
     def call(self, method, path, body=None, headers=None):
-        """Return `(status, body)`, or `(0, b"")` where no answer came.
+        """Make a call; return `(status, body)`, or `(0, b"")` without an answer.
 
-        After an answer from 500 on, or none, the next call goes elsewhere.
+        After a status from 500 on, or no answer, the next call goes to the next
+        address.
         """
         with self.lock:
             status, data = self.call_first(method, path, body, headers or {})
@@ -46,7 +49,7 @@
         return status, data
 
     def call_first(self, method, path, body, headers):
-        """Call the first address."""
+        """Call the process at the first address."""
         address = self.addresses[0]
         connection = self.connection_by_address.get(address)
         if connection is None:
@@ -57,7 +60,7 @@
             response = connection.getresponse()
             return response.status, response.read()
         except (OSError, HTTPException):
-            # Faults are what this is for: the caller is told that none came.
+            # Tests inject such failures: they are reported as status 0, not raised.
             self.connection_by_address.pop(address).close()
             return 0, b""
 
@@ -69,46 +72,46 @@
 
 
 class Client:
-    """Calls `step()` again and again in a thread of its own.
+    """Calls `step()` repeatedly in its own thread.
 
     `addresses`
-        Of the processes it calls.
+        `IP:port` of the processes to call.
     `record`
-        The `Record` of the run.
+        The `Record` that collects the results of checks.
     `seconds`
-        Longest wait for an answer.
+        Timeout of a call.
     `pause_seconds`
-        Between two steps.
+        Pause between two steps.
     """
 
     def __init__(self, addresses, record, seconds, pause_seconds):
-        self.link = Link(addresses, seconds)
+        self.link = FailoverLink(addresses, seconds)
         self.record = record
         self.pause_seconds = pause_seconds
         self.stopping = threading.Event()
         self.thread = threading.Thread(target=self.run, daemon=True)
 
     def start(self):
-        """Begin to call."""
+        """Start the thread."""
         self.thread.start()
 
     def run(self):
-        """Call until stopped."""
+        """Make steps until stopped; a failure is recorded as a failed check."""
         try:
             pause = self.pause_seconds
             while not self.stopping.wait(pause):
                 is_served = self.step()
-                pause = self.pause_seconds if is_served else UNSERVED_SECONDS
+                pause = self.pause_seconds if is_served else RETRY_PAUSE_SECONDS
         except Exception:
-            # A client that is gone checks nothing: the run must not pass.
+            # A client that failed checks nothing more, so the run must not pass.
             self.record.check("clients work", False, traceback.format_exc())
 
     def step(self):
-        """Make one call, check what it tells; return whether it was served."""
+        """Make one call and check the answer; return whether it was served."""
         raise NotImplementedError
 
     def stop(self):
-        """Stop calling, and close the connections."""
+        """Stop the thread and close the connections."""
         self.stopping.set()
         if self.thread.is_alive():
             self.thread.join()
--- a/standin/cluster.py
+++ b/standin/cluster.py
@@ -2,8 +2,8 @@
 standin.cluster
 ~~~~~~~~~~~~~~~
 
-A whole system on this machine, as separate processes with a folder of
-their own. It ends only what it started.
+Starts a complete system on this machine: separate processes with their own
+temporary folder. Ends only the processes that it started.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -39,9 +39,10 @@
 
 
 def free_ports(count):
-    """Return `count` ports that are free now.
+    """Return `count` TCP ports that are free now.
 
-    They lie below the range that outgoing connections take theirs from.
+    They lie below the range of ephemeral ports, so that no outgoing connection
+    takes one. Raises `OSError` if there are too few.
     """
     first = FIRST_PORT + os.getpid() * 97 % PORT_RANGE
     found = []
@@ -55,11 +56,14 @@
         found.append(port)
         if len(found) == count:
             return found
-    raise OSError("no free ports")
+    raise OSError("too few free ports on 127.0.0.1")
 
 
 def http_call(address, method, path, body=None, headers=None, timeout=10.0):
-    """Return `(status, headers, body)` of one HTTP call."""
+    """Make one HTTP call to `address`, `IP:port`; return `(status, headers, body)`.
+
+    `timeout` is in seconds.
+    """
     connection = HTTPConnection(address, timeout=timeout)
     try:
         connection.request(method, path, body=body, headers=headers or {})
@@ -70,19 +74,22 @@
 
 
 def wait_for(condition, seconds=START_SECONDS, what="the condition"):
-    """Wait until `condition()` is true and return its value."""
+    """Wait until `condition()` is true and return its value.
+
+    Raises `TimeoutError` after `seconds`; `what` names the condition.
+    """
     deadline = time.monotonic() + seconds
     while True:
         value = condition()
         if value:
             return value
         if time.monotonic() > deadline:
-            raise TimeoutError(f"{what} did not come true in {seconds} s")
+            raise TimeoutError(f"{what}: timed out after {seconds} s")
         time.sleep(0.02)
 
 
 class Process:
-    """One process that this cluster started."""
+    """A child process that appends its output to a log file in `folder`."""
 
     def __init__(self, name, command, folder, env=None):
         self.name = name
@@ -92,46 +99,52 @@
         self.popen = None
 
     def start(self):
-        """Start it, adding to its log."""
+        """Start the process; its output is appended to the log."""
         with open(self.log_path, "ab") as log:
             self.popen = subprocess.Popen(
                 self.command, stdout=log, stderr=log, cwd=ROOT, env=self.env
             )
 
     def signal(self, number):
-        """Send it a signal."""
+        """Send a signal to the process."""
         self.popen.send_signal(number)
 
     def kill(self):
-        """Kill it without warning."""
+        """Kill the process with SIGKILL and wait for its end."""
         self.popen.kill()
         self.popen.wait()
 
     def stop(self):
-        """Ask it to stop and wait; return its exit code."""
+        """Send SIGTERM and wait for the end; return the exit code."""
         self.popen.terminate()
         return self.popen.wait(STOP_SECONDS)
 
     def is_running(self):
-        """Whether it runs."""
+        """Whether the process is running."""
         return self.popen is not None and self.popen.poll() is None
 
     def log(self):
-        """Return its log."""
+        """Return the text of the log."""
         return self.log_path.read_text(errors="replace")
 
 
 class Cluster:
-    """Control replicas, entries, planners and the stand-in world.
+    """Control replicas, entries, planners and the simulated platform.
 
     `replicas`, `entries`, `planners`
-        How many of each. Defaults: 3, 2, 1.
+        Number of each. Defaults: 3, 2, 1.
     `vms`
-        VMs of each partner, four to a rack, over four halls. Default: 8.
+        Number of VMs of each partner, four to a rack, over four halls.
+        Default: 8.
     `lease_seconds`
-        Lease of an entry. Default: 2.
+        Duration of an entry's lease. Default: 2.
+    `reboot_seconds`
+        How long the reboot of a VM takes. Default: 0.3.
+    `lag_seconds`
+        Age of the platform's list of VMs. Default: 0.2.
     `with_relays`
-        Whether every call to a replica passes a relay that can be cut.
+        Whether every call to a replica passes a relay that can simulate a
+        network partition. Default: False.
     """
 
     def __init__(
@@ -166,10 +179,8 @@
         self.service_ports = {"prescriptions": next(ports), "journeys": next(ports)}
         self.vm_documents = list(self.make_vms(vms))
 
-    # The network.
-
     def make_relays(self, names):
-        """Make a relay from every process to every other replica."""
+        """Start a relay from every process to every other replica."""
         for sender in names:
             for receiver in self.replica_names:
                 if sender != receiver:
@@ -186,21 +197,19 @@
         return [self.rpc_address(sender, name) for name in self.replica_names]
 
     def relays_of(self, name):
-        """Return the relays from and to a process."""
+        """Return the relays that carry connections from or to a process."""
         return [relay for pair, relay in self.relay_by_pair.items() if name in pair]
 
     def cut_off(self, name):
-        """Cut a process off from all replicas, silently."""
+        """Partition a process from all replicas; connections stay open."""
         for relay in self.relays_of(name):
             relay.cut()
 
     def reconnect(self, name):
-        """End the cut of a process."""
+        """End the partition of a process."""
         for relay in self.relays_of(name):
             relay.heal()
 
-    # What the stand-in world holds.
-
     def make_vms(self, count):
         """Yield the VM objects of both partners."""
         unique = os.getpid() % 200 + 20
@@ -223,7 +232,7 @@
         return vm["pool"].removesuffix("-pool")
 
     def declarations(self):
-        """Return the objects of both partners, `(partner, object)`."""
+        """Return the objects of both partners as `(partner, object)` pairs."""
         objects = []
         for partner in TOKEN_BY_PARTNER:
             objects.append((partner, {"kind": "pool", "name": f"{partner}-pool"}))
@@ -235,9 +244,9 @@
         return objects
 
     def services(self):
-        """Return the services of both partners."""
-        pills = self.service_ports["prescriptions"]
-        routes = self.service_ports["journeys"]
+        """Return the services of both partners as `(partner, object)` pairs."""
+        prescriptions_port = self.service_ports["prescriptions"]
+        journeys_port = self.service_ports["journeys"]
         base = {"kind": "service", "selector": "tier=small", "max_down": 1}
         return [
             (
@@ -246,7 +255,7 @@
                     **base,
                     "name": "eligibility",
                     "pool": "prescriptions-pool",
-                    "port": pills,
+                    "port": prescriptions_port,
                 },
             ),
             (
@@ -255,7 +264,7 @@
                     **base,
                     "name": "refill",
                     "pool": "prescriptions-pool",
-                    "port": pills,
+                    "port": prescriptions_port,
                     "repeatable": False,
                 },
             ),
@@ -265,22 +274,20 @@
                     **base,
                     "name": "route",
                     "pool": "journeys-pool",
-                    "port": routes,
+                    "port": journeys_port,
                     "max_down": 2,
                 },
             ),
         ]
 
-    # Settings files.
-
     def write_settings(self, name, settings):
-        """Write a settings file; return its path."""
+        """Write the settings file of a process; return its path."""
         path = self.folder / f"{name}.yaml"
         path.write_text(yaml.safe_dump(settings))
         return path
 
     def common_settings(self, name):
-        """Return the settings that every daemon has."""
+        """Return the settings that all daemons have in common."""
         return {
             "name": name,
             "hall": f"hall-{(int(name[1:]) - 1) % 4 + 1}",
@@ -314,7 +321,7 @@
         }
 
     def make_processes(self):
-        """Write all settings files and make the processes."""
+        """Write all settings files and create the processes, not yet started."""
         for name in self.replica_names:
             self.add("control", name, self.control_settings(name))
         for name in self.entry_names:
@@ -328,16 +335,16 @@
             settings |= {"pass_seconds": 0.05, "lost_after_seconds": 0.5}
             settings |= {"platform_seconds": 0.05, "full_pass_seconds": 1.0}
             self.add("planner", name, settings)
-        self.add_world()
+        self.add_simulation()
 
     def add(self, program, name, settings):
-        """Make the process of a program of the product."""
+        """Create the process `name` that runs `hingepitch-PROGRAM`."""
         path = self.write_settings(name, settings)
         command = [str(BIN / f"hingepitch-{program}"), "--settings", str(path)]
         self.process_by_name[name] = Process(name, command, self.folder)
 
-    def add_world(self):
-        """Make the process of the stand-in world."""
+    def add_simulation(self):
+        """Create the process that simulates the platform and the minions."""
         document = {
             "address": self.platform,
             "lag_seconds": self.lag_seconds,
@@ -357,12 +364,13 @@
         command = [sys.executable, "-m", "standin.world", str(path)]
         self.process_by_name["world"] = Process("world", command, self.folder)
 
-    # Life cycle.
-
     def start(self, with_declarations=True):
-        """Start everything and wait until requests can flow."""
+        """Start all processes and wait until the entries can serve requests.
+
+        Without declarations, wait only for a leader.
+        """
         self.make_processes()
-        founding = [
+        initializers = [
             subprocess.Popen(
                 [*self.process_by_name[name].command, "--init"],
                 stdout=subprocess.DEVNULL,
@@ -370,8 +378,8 @@
             )
             for name in self.replica_names
         ]
-        if any(popen.wait() for popen in founding):
-            raise RuntimeError("the data folders could not be founded")
+        if any(popen.wait() for popen in initializers):
+            raise RuntimeError("hingepitch-control --init failed for a data folder")
         for process in self.process_by_name.values():
             process.start()
         self.wait_leader()
@@ -381,11 +389,11 @@
             self.wait_entries()
 
     def wait_leader(self, seconds=START_SECONDS):
-        """Wait until a replica leads; return its name."""
+        """Wait until a replica is leader; return its name."""
         return wait_for(self.leader, seconds, "a leader")
 
     def leader(self):
-        """Return the name of the replica that leads in the last term."""
+        """Return the name of the leader with the highest term, or None."""
         statuses = [self.status(name) for name in self.replica_names]
         leaders = [
             (status["term"], status["name"])
@@ -395,21 +403,22 @@
         return max(leaders)[1] if leaders else None
 
     def wait_entries(self):
-        """Wait until every entry has a lease and the last version."""
+        """Wait until every entry has a lease and the leader's routing version."""
         leader = self.status(self.wait_leader())
         version = leader["routing_version"]
         for name in self.entry_names:
             wait_for(
-                lambda name=name: self.is_at(name, version), what=f"{name} at {version}"
+                lambda name=name: self.has_reached_version(name, version),
+                what=f"{name} at {version}",
             )
 
-    def is_at(self, entry, version):
-        """Whether an entry has a lease and a version."""
+    def has_reached_version(self, entry, version):
+        """Whether an entry has a lease and has applied `version`."""
         status = self.status(entry)
         return status and status["has_lease"] and status["version"] >= version
 
     def status(self, name):
-        """Return the status of a daemon, or None."""
+        """Return the status of a daemon, or None if it does not answer."""
         if not self.process_by_name[name].is_running():
             return None
         try:
@@ -420,7 +429,7 @@
             return None
 
     def close(self):
-        """End what this cluster started, and remove its folder."""
+        """Kill the processes of this cluster and remove its folder."""
         for process in self.process_by_name.values():
             if process.is_running():
                 process.signal(signal.SIGCONT)
@@ -435,10 +444,8 @@
     def __exit__(self, *exception):
         self.close()
 
-    # Operators.
-
     def admin_settings(self, partner):
-        """Return the path of the settings file of a partner's operator."""
+        """Write the settings file of a partner's operator; return its path."""
         settings = {
             "control": [self.http_by_name[name] for name in self.replica_names],
             "token": TOKEN_BY_PARTNER[partner],
@@ -446,13 +453,13 @@
         return self.write_settings(f"admin-{partner}", settings)
 
     def admin(self, partner, *arguments):
-        """Run `hingepitch-admin`; return the finished process."""
+        """Run `hingepitch-admin` for a partner; return the `CompletedProcess`."""
         command = [str(BIN / "hingepitch-admin"), *arguments]
         command += ["--settings", str(self.admin_settings(partner))]
         return subprocess.run(command, capture_output=True, text=True, timeout=60)
 
     def client(self, partner):
-        """Return an `AdminClient` of a partner's operator."""
+        """Return an `AdminClient` with the token of a partner's operator."""
         return AdminClient(
             AdminSettings(
                 control=[self.http_by_name[name] for name in self.replica_names],
@@ -465,14 +472,12 @@
         return self.client(partner).command(put=document)
 
     def objects(self, kind, partner="prescriptions"):
-        """Return all objects of a kind by their names."""
+        """Return all objects of a kind by name."""
         rows = self.client(partner).call("GET", f"/v1/objects/{kind}")
         return {row.get("name", row.get("vm", row.get("key"))): row for row in rows}
 
-    # Callers and the stand-in world.
-
     def request(self, entry, service, name, body=b"", key="", method=None, **headers):
-        """Send a caller's request; return `(status, headers, body)`."""
+        """Send a request through an entry; return `(status, headers, body)`."""
         sent = {"Request-Name": name, **headers}
         if key:
             sent["Idempotency-Key"] = key
@@ -481,7 +486,7 @@
         return http_call(address, method, f"/s/{service}/x", body, sent)
 
     def world(self, path, body=None):
-        """Call the stand-in world."""
+        """Call the simulated platform's API; return the decoded answer."""
         method = "GET" if body is None else "POST"
         data = None if body is None else json.dumps(body)
         headers = {"Content-Type": "application/json"}
@@ -489,5 +494,5 @@
         return json.loads(answer[2])
 
     def counts(self):
-        """Return what the world counted."""
+        """Return the counters of the simulated platform."""
         return self.world("/counts")
--- a/standin/demo.py
+++ b/standin/demo.py
@@ -2,8 +2,8 @@
 standin.demo
 ~~~~~~~~~~~~
 
-The whole path on built-in defaults: requests flow, a selector is
-changed, a wave runs, a control replica is killed and comes back.
+Demonstrates the system with default settings, under load: a selector is
+changed, maintenance waves run, the leader is killed and restarted.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -21,13 +21,17 @@
 
 
 def is_maintained(cluster, partner):
-    """Whether every VM of a partner was maintained and is live again."""
+    """Whether every VM of a partner has been maintained and is live again."""
     vms = [vm for vm in cluster.objects("vm").values() if vm["partner"] == partner]
     return all(vm["maintained_version"] and vm["life"] == "live" for vm in vms)
 
 
 def change_selector(cluster):
-    """Relabel two VMs and narrow a selector; return what was seen."""
+    """Exclude two VMs from a service by labels and selector.
+
+    Returns the monotonic time of the end, the duration in seconds and whether
+    the change came into force.
+    """
     started = time.monotonic()
     for vm in cluster.vm_documents[:2]:
         vm["labels"] = {**vm["labels"], "color": "green"}
@@ -39,7 +43,7 @@
 
 
 def run_wave(cluster, partner):
-    """Run a maintenance wave over a partner's VMs; return its seconds."""
+    """Run a maintenance wave over a partner's VMs; return the seconds it took."""
     started = time.monotonic()
     cluster.put(partner, {"kind": "campaign", "name": f"{partner}-kernel"})
     wait_for(
@@ -48,8 +52,12 @@
     return time.monotonic() - started
 
 
-def kill_and_return(cluster):
-    """Kill the leading replica and bring it back; return two durations."""
+def kill_and_restart_leader(cluster):
+    """Kill the leader and restart it.
+
+    Returns the seconds until another replica is leader, and until the restarted
+    one has caught up.
+    """
     name = cluster.wait_leader()
     cluster.process_by_name[name].kill()
     started = time.monotonic()
@@ -65,14 +73,22 @@
 
 
 def print_table(rows):
-    """Print pairs of a name and a value."""
+    """Print pairs of a name and a value in aligned columns."""
     width = max(len(name) for name, _ in rows)
     for name, value in rows:
         print(f"  {name.ljust(width)}  {value}")
 
 
-def broken_promises(verdict, counts, excluded_used, in_force):
-    """Return the names of the promises that were broken."""
+def violated_guarantees(verdict, counts, excluded_used, in_force):
+    """Return the names of the violated guarantees.
+
+    `counts`
+        Counters of the simulated platform.
+    `excluded_used`
+        Number of requests that excluded VMs answered after the change.
+    `in_force`
+        Whether the change came into force.
+    """
     broken = verdict.broken()
     if counts["cut"]:
         broken.append("cut_off_by_maintenance")
@@ -90,16 +106,16 @@
 
 def run(cluster):
     """Run the demo; return the exit code."""
-    print("starting 3 control replicas, 2 entries, 1 planner and the stand-ins")
+    print("starting 3 control replicas, 2 entries, 1 planner and the stubs")
     cluster.start()
     entries = [cluster.http_by_name[name] for name in cluster.entry_names]
     callers = Callers(entries, SERVICES).start()
-    print("requests flow; changing labels and a selector")
+    print("requests are being sent; changing labels and a selector")
     changed_at, change_seconds, in_force = change_selector(cluster)
     print("maintenance waves of both partners, under load")
     waves = {partner: run_wave(cluster, partner) for partner in BUDGET_BY_GROUP}
-    print("killing the leading control replica, bringing it back")
-    without_leader, back = kill_and_return(cluster)
+    print("killing the leader of the control replicas and restarting it")
+    without_leader, recovery_seconds = kill_and_restart_leader(cluster)
     callers.stop()
     counts = cluster.counts()
     verdict = callers.verdict(counts["ran"])
@@ -131,16 +147,16 @@
     rows += [
         ("moves (reboots)", len(counts["reboots"])),
         ("without a leader after a kill (s)", f"{without_leader:.2f}"),
-        ("killed replica caught up after (s)", f"{back:.2f}"),
+        ("killed replica caught up after (s)", f"{recovery_seconds:.2f}"),
     ]
     print_table(rows)
-    broken = broken_promises(verdict, counts, excluded_used, in_force)
+    broken = violated_guarantees(verdict, counts, excluded_used, in_force)
     print("broken promises:", ", ".join(broken) or "none")
     return 1 if broken else 0
 
 
 def main():
-    """Run the demo on a cluster of its own."""
+    """Run the demo on a new cluster."""
     with Cluster() as cluster:
         sys.exit(run(cluster))
 
--- a/standin/fleet.py
+++ b/standin/fleet.py
@@ -2,7 +2,7 @@
 standin.fleet
 ~~~~~~~~~~~~~
 
-Fleets of any size, built by commands: for measurements.
+Builds fleets of any size from commands, for measurements.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -14,7 +14,7 @@
 from hingepitch.model.state import State
 from hingepitch.planner.view import PlatformView, PlatformVm
 
-#: The letter's fleet.
+#: Size of the fleet that the product is built for.
 VMS = 7100
 ACCELERATORS = 16_000
 POOLS = 261
@@ -26,7 +26,7 @@
 
 
 class FleetBuilder:
-    """Builds a state by commands, as the log would."""
+    """Builds a state by applying commands, as replaying a log would."""
 
     def __init__(self):
         self.state = State()
@@ -47,12 +47,12 @@
         return apply(self.state, envelope, self.index)
 
     def take_lease(self):
-        """Take the lease to plan."""
+        """Take the planner lease, whose fencing token later commands carry."""
         command = commands.TakePlannerLease("builder", 10**9)
         self.fence = self.send(command, Role.PLANNER).fence
 
     def add_pool(self, number):
-        """Add a pool with one service; its partner alternates."""
+        """Add a pool with one service; pools alternate between the partners."""
         partner = PARTNERS[number % len(PARTNERS)]
         name = f"pool-{number}"
         self.send(commands.PutPool(name), partner=partner)
@@ -62,7 +62,7 @@
         self.send(service, partner=partner)
 
     def add_vm(self, number, pools):
-        """Add a VM to the pool of its turn."""
+        """Add a VM; VMs are spread over the pools in turn."""
         pool = number % pools
         rack = number // VMS_IN_RACK
         vm = commands.PutVm(
@@ -79,12 +79,15 @@
         self.send(vm, partner=PARTNERS[pool % len(PARTNERS)])
 
     def add_team(self, number):
-        """Add a team; its partner alternates."""
+        """Add a team; teams alternate between the partners."""
         team = commands.PutTeam(f"team-{number}", 400, 100)
         self.send(team, partner=PARTNERS[number % len(PARTNERS)])
 
     def add_job(self, number, pools, teams):
-        """Add a waiting job of the team and pool of its turn."""
+        """Add a waiting job; jobs are spread over the pools and teams in turn.
+
+        Raises `ValueError` if the job is refused.
+        """
         pool = number % pools
         team = (number * len(PARTNERS) + pool) % (teams - teams % len(PARTNERS))
         team -= (team - pool) % len(PARTNERS)
@@ -96,7 +99,7 @@
             raise ValueError(outcome.detail)
 
     def add_claim(self, number, answer_bytes=200):
-        """Add an answered claim of the first service."""
+        """Add a claim of the first service, closed with an answer of this size."""
         claim = commands.OpenClaim("service-0", f"key-{number}", "d" * 64, "entry-1")
         opened = self.send(claim, Role.ENTRY).claim
         self.send(
@@ -112,22 +115,22 @@
         )
 
     def add_campaigns(self):
-        """Want every VM maintained."""
+        """Add a maintenance campaign over all VMs of each partner."""
         for partner in PARTNERS:
             self.send(commands.PutCampaign(f"campaign-{partner}"), partner=partner)
 
     def pools(self):
-        """Return the names of all pools."""
+        """Return all pools by name."""
         return self.state.by_kind["pool"]
 
     def view(self):
-        """Return a view in which every VM is healthy."""
+        """Return a view of the platform in which every VM is healthy."""
         names = self.state.by_kind["vm"]
         return PlatformView({name: PlatformVm(name, True, "boot-1") for name in names})
 
 
-def letter_fleet(part):
-    """Return a builder with a part of the letter's fleet, 0 to 1."""
+def full_size_fleet(part):
+    """Return a builder with a `part`, 0 to 1, of the full-size fleet."""
     builder = FleetBuilder()
     pools = max(2, round(POOLS * part))
     teams = max(4, round(TEAMS * part))
--- a/standin/journaled.py
+++ b/standin/journaled.py
@@ -2,8 +2,8 @@
 standin.journaled
 ~~~~~~~~~~~~~~~~~
 
-Starts the control program of the platform on a disk whose calls are journaled,
-so that whoever kills it can play a loss of power.
+Starts the platform's control program on a disk that journals each call, so
+that a test that kills the process can simulate a power loss.
 
 usage: python -m standin.journaled JOURNAL
 
@@ -15,7 +15,8 @@
 import sys
 from pathlib import Path
 
-# As the program itself does: a signal must not end it while it loads.
+# As in the program itself: SIGHUP must not end the process while it imports
+# modules, and SIGTERM must end it with exit code 0.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 signal.signal(signal.SIGTERM, lambda *_: sys.exit(0))
 
--- a/standin/measure.py
+++ b/standin/measure.py
@@ -2,7 +2,7 @@
 standin.measure
 ~~~~~~~~~~~~~~~
 
-Measuring: processor time and memory of processes, slopes, tables.
+Measures CPU time and memory of processes, fits slopes and prints tables.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -19,26 +19,29 @@
 
 
 def cpu_seconds(pid):
-    """Return the processor time that a process has used."""
+    """Return the CPU time, user and system, that a process has used."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / TICKS_PER_SECOND
 
 
 def resident_bytes(pid):
-    """Return the resident memory of a process."""
+    """Return the resident memory of a process in bytes."""
     return int(Path(f"/proc/{pid}/statm").read_text().split()[1]) * PAGE_BYTES
 
 
 @dataclass(frozen=True, slots=True)
 class Slope:
-    """A straight line through measured points.
+    """A linear regression through measured points.
 
+    `points`
+        Pairs `(size, value)`.
     `per_unit`, `base`
-        The line.
+        Slope and intercept of the line.
     `fit`
-        Share of the variance that the line explains.
+        Share of the variance that the line explains (R squared).
     `spread`
-        Largest distance of a point from the line, as a part of its value.
+        Largest relative error of a point: its distance from the line divided
+        by its value.
     """
 
     name: str
@@ -55,9 +58,12 @@
 
 
 def fit_slope(name, unit, points):
-    """Return the `Slope` through `(size, value)` points, at least four."""
+    """Return the `Slope` through `(size, value)` points.
+
+    Raises `ValueError` for fewer than four points.
+    """
     if len(points) < 4:
-        raise ValueError("a slope needs four sizes")
+        raise ValueError("a slope needs at least four points")
     sizes = [size for size, _ in points]
     values = [value for _, value in points]
     line = statistics.linear_regression(sizes, values)
@@ -75,7 +81,7 @@
 
 
 def best_seconds(function, repeats=3):
-    """Return the shortest time of a few runs of `function`."""
+    """Return the shortest duration of `repeats` calls of `function`."""
     times = []
     for _ in range(repeats):
         started = time.perf_counter()
@@ -85,7 +91,7 @@
 
 
 def print_table(title, columns, rows):
-    """Print a table for people."""
+    """Print a table with aligned columns."""
     cells = [[str(cell) for cell in row] for row in rows]
     table = [list(columns), *cells]
     widths = [max(len(line[at]) for line in table) for at in range(len(columns))]
@@ -95,6 +101,6 @@
         print("  " + "  ".join(padded).rstrip(), flush=True)
 
 
-def short(value):
-    """Return a number with three digits that count."""
+def format_short(value):
+    """Return a number as text: three significant digits, or whole from 1000 on."""
     return f"{value:.3g}" if abs(value) < 1000 else f"{value:,.0f}"
--- a/standin/relay.py
+++ b/standin/relay.py
@@ -2,7 +2,7 @@
 standin.relay
 ~~~~~~~~~~~~~
 
-A TCP relay that can be cut silently, for tests of lost networks.
+A TCP relay that simulates network partitions.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -16,10 +16,15 @@
 
 
 class Relay:
-    """Passes connections on to `target`, `IP:port`, until it is cut.
+    """Forwards connections to `target`, `IP:port`, unless it is cut.
 
-    While it is cut, connections stay open and nothing passes; healing
-    closes them, as nothing that waited may still arrive.
+    While it is cut, connections stay open and data is dropped. Healing closes
+    them, so that no data from before the partition arrives after it.
+
+    `address`
+        `IP:port` on which the relay listens.
+    `bytes_passed`
+        Number of bytes forwarded, in both directions.
     """
 
     def __init__(self, target):
@@ -29,8 +34,8 @@
         self.open = threading.Event()
         self.open.set()
         self.closing = False
-        self.pairs = set()
-        self.silent = set()
+        self.socket_pairs = set()
+        self.stalled = set()
         self.bytes_passed = 0
         threading.Thread(target=self.accept, daemon=True).start()
 
@@ -39,42 +44,44 @@
         self.listener.settimeout(ACCEPT_SECONDS)
         while not self.closing:
             try:
-                near, _ = self.listener.accept()
+                client_sock, _ = self.listener.accept()
             except TimeoutError:
                 continue
             except OSError:
                 return
-            threading.Thread(target=self.connect, args=(near,), daemon=True).start()
+            threading.Thread(
+                target=self.connect, args=(client_sock,), daemon=True
+            ).start()
 
-    def connect(self, near):
-        """Connect to the target and pass bytes both ways."""
+    def connect(self, client_sock):
+        """Connect to the target and start forwarding in both directions."""
         host, port = self.target.rsplit(":", 1)
         try:
-            far = socket.create_connection((host, int(port)), timeout=2)
+            target_sock = socket.create_connection((host, int(port)), timeout=2)
         except OSError:
-            near.close()
+            client_sock.close()
             return
-        for sock in (near, far):
+        for sock in (client_sock, target_sock):
             sock.settimeout(None)
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.pairs.add((near, far))
-        for pair in ((near, far), (far, near)):
-            threading.Thread(target=self.pump, args=pair, daemon=True).start()
+        self.socket_pairs.add((client_sock, target_sock))
+        for pair in ((client_sock, target_sock), (target_sock, client_sock)):
+            threading.Thread(target=self.forward, args=pair, daemon=True).start()
 
-    def pump(self, source, sink):
-        """Pass bytes one way; swallow them while cut."""
+    def forward(self, source, sink):
+        """Forward bytes in one direction; drop them while cut or stalled."""
         try:
             while data := source.recv(CHUNK_BYTES):
-                if self.open.is_set() and source not in self.silent:
+                if self.open.is_set() and source not in self.stalled:
                     sink.sendall(data)
                     self.bytes_passed += len(data)
         except OSError:
             pass
         for sock in (source, sink):
-            self.shut(sock)
+            self.close_socket(sock)
 
-    def shut(self, sock):
-        """Close a socket for good."""
+    def close_socket(self, sock):
+        """Shut down and close a socket; it may be closed already."""
         try:
             sock.shutdown(socket.SHUT_RDWR)
         except OSError:
@@ -82,24 +89,24 @@
         sock.close()
 
     def cut(self):
-        """Let nothing pass, silently."""
+        """Drop all data; connections stay open."""
         self.open.clear()
 
     def silence(self):
-        """Let the open connections go silent for good; new ones work."""
-        for pair in self.pairs:
-            self.silent.update(pair)
+        """Drop the data of the open connections from now on; new ones work."""
+        for pair in self.socket_pairs:
+            self.stalled.update(pair)
 
     def heal(self):
-        """Let new connections pass; close the old ones."""
-        pairs, self.pairs = self.pairs, set()
-        for near, far in pairs:
-            self.shut(near)
-            self.shut(far)
+        """End a cut: close the old connections and forward new ones."""
+        socket_pairs, self.socket_pairs = self.socket_pairs, set()
+        for client_sock, target_sock in socket_pairs:
+            self.close_socket(client_sock)
+            self.close_socket(target_sock)
         self.open.set()
 
     def close(self):
-        """Close everything."""
+        """Close the listener and all connections."""
         self.closing = True
         self.listener.close()
         self.heal()
--- a/standin/site.py
+++ b/standin/site.py
@@ -2,8 +2,8 @@
 standin.site
 ~~~~~~~~~~~~
 
-The system on a small stand-in of the users' platform: real processes on
-loopback addresses, with settings files as the platform writes them.
+Starts the system on a stub of the users' platform: real processes on
+loopback addresses, with settings files in the platform's format.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -26,16 +26,17 @@
 
 HOST = "queue.example"
 
-#: Tasks of jobs whose id begins so fail wherever they run.
+#: Every task of a job whose id starts with this fails on every minion.
 FAILING_PREFIX = "fa11"
 
-#: The first task of each step of jobs whose id begins so crashes its minion.
+#: In a job whose id starts with this, the first task of each step crashes its
+#: minion.
 CRASHING_PREFIX = "c4a5"
 POOL = "pool"
 
 
 def config_body(version, queues=("/q/",)):
-    """Return the JSON of a configuration; `queues` are path prefixes."""
+    """Return a configuration as JSON, with a route for each path prefix."""
     route = {"host": HOST, "timeout_ms": 3000, "service": POOL, "attempts": 3}
     body = {
         "version": version,
@@ -50,18 +51,21 @@
 
 
 class Site:
-    """Control replicas, entries and one process of stand-in minions.
+    """Control replicas, entries and one process of stub minions.
 
     `controls`, `entries`, `minions`
-        How many of each; the first three controls are the seeds.
+        Number of each; the first three control replicas are the seeds.
+        Defaults: 5, 2, 4.
     `task_seconds`
-        How long each task runs.
+        How long each task runs. Default: 0.2.
     `is_journaled`
-        Whether the disks of the controls can lose power; costs each call of
-        theirs a second write. Default: False.
-    `down`, `stopping`
-        Addresses of the processes that were killed here, or asked to stop, and
-        not started again.
+        Whether `lose_power` works: the control replicas journal each disk call,
+        which costs a second write. Default: False.
+    `down`
+        Addresses of the processes that are not running: killed by this object,
+        or found to have ended.
+    `stopping`
+        Addresses of the processes that were asked to stop and not started again.
     `ended`
         Address and exit code of each process that ended by itself.
     """
@@ -89,7 +93,10 @@
         self.fleet = self.make_fleet(minions, task_seconds)
 
     def ip(self, network, number):
-        """Return the loopback address of a process: another one for each site."""
+        """Return the loopback address of a process.
+
+        It depends on the id of this process, to differ between sites.
+        """
         block = os.getpid() % 200 + 10
         network += os.getpid() // 200 % 80 * 3
         return f"127.{block}.{network}.{number + 1}"
@@ -101,16 +108,14 @@
         self.close()
 
     def close(self):
-        """End everything that was started, and remove the files."""
+        """Kill all processes of this site and remove its files."""
         self.kill(*self.process_by_ip)
         if self.fleet.is_running():
             self.fleet.kill()
         shutil.rmtree(self.folder, ignore_errors=True)
 
-    # Files.
-
     def write_settings(self, ip, bootstrap):
-        """Write the settings file of a process."""
+        """Write the settings file of the process at an address."""
         is_control = ip in self.control_ips
         listen = {"control": f"{ip}:{self.port}"}
         if not is_control:
@@ -134,7 +139,7 @@
         (self.folder / f"{ip}.yaml").write_text(yaml.safe_dump(settings))
 
     def make_process(self, ip):
-        """Return the process at an address."""
+        """Create the process at an address, not yet started."""
         role = "control" if ip in self.control_ips else "entry"
         command = [sys.executable, "platform/main.py", role]
         if self.is_journaled and role == "control":
@@ -143,7 +148,7 @@
         return Process(ip, command, self.folder, env)
 
     def make_fleet(self, minions, task_seconds):
-        """Return the process of the stand-in minions."""
+        """Create the process of the stub minions, not yet started."""
         description = {
             "controls": [f"{ip}:{self.port}" for ip in self.control_ips],
             "notes": str(self.notes),
@@ -155,10 +160,8 @@
         command = [sys.executable, "-m", "standin.taskfleet", str(path)]
         return Process("fleet", command, self.folder)
 
-    # Life cycle.
-
     def start(self):
-        """Start everything, and wait until every control replica votes."""
+        """Start all processes and wait until every control replica is a voter."""
         for ip, process in self.process_by_ip.items():
             self.write_settings(ip, bootstrap=True)
             process.start()
@@ -168,14 +171,14 @@
             self.write_settings(ip, bootstrap=False)
 
     def restart(self, ip):
-        """Start the process at an address again."""
+        """Kill the process at an address if it runs, and start it again."""
         self.kill(ip)
         self.process_by_ip[ip].start()
         self.down.discard(ip)
         self.stopping.discard(ip)
 
     def kill(self, *ips):
-        """Kill processes at one moment, without warning."""
+        """Kill the processes at these addresses with SIGKILL, all at once."""
         self.note_ended()
         running = [self.process_by_ip[ip] for ip in ips if self.is_running(ip)]
         for process in running:
@@ -185,23 +188,26 @@
         self.down.update(ips)
 
     def ask_to_stop(self, ip):
-        """Ask a process to stop; `note_ended` looks at its exit code."""
+        """Send SIGTERM to a process; `note_ended` checks its exit code later."""
         self.note_ended()
         self.stopping.add(ip)
         self.process_by_ip[ip].signal(signal.SIGTERM)
 
     def is_running(self, ip):
-        """Whether the process at an address runs."""
+        """Whether the process at an address is running."""
         return self.process_by_ip[ip].is_running()
 
     def note_ended(self):
-        """Note the processes that ended and that nobody here ended."""
+        """Add to `ended` the processes that ended without being killed here.
+
+        A process that was asked to stop may exit with code 0.
+        """
         for ip, process in self.process_by_ip.items():
             if process.popen is None or ip in self.down or process.is_running():
                 continue
             self.down.add(ip)
             code = process.popen.returncode
-            # Asked in its first milliseconds, it has no handler yet.
+            # SIGTERM ends a process that has not yet installed its handler.
             if ip not in self.stopping or code not in (0, -signal.SIGTERM):
                 self.ended.append((ip, code))
 
@@ -214,27 +220,28 @@
             self.journal(ip).unlink(missing_ok=True)
 
     def lose_power(self, rng, *ips):
-        """Kill control replicas; leave on their disks what chance leaves."""
+        """Kill control replicas and simulate a power loss on their disks.
+
+        `rng` decides which unsynced changes survive.
+        """
         self.kill(*ips)
         for ip in ips:
             powerdisk.lose_power(self.folder / ip, self.journal(ip), self.base(ip), rng)
 
     def journal(self, ip):
-        """Return the path where the calls to a control replica's disk are noted."""
+        """Return the path of the journal of a control replica's disk calls."""
         return self.folder / f"{ip}.journal"
 
     def base(self, ip):
-        """Return the folder of what the last loss of power left on a disk."""
+        """Return the folder with the files that the last power loss left."""
         return self.folder / f"{ip}.base"
 
-    # What is seen from outside.
-
     def addresses(self, ips):
-        """Return where processes take calls."""
+        """Return the `IP:port` of the processes at these addresses."""
         return [f"{ip}:{self.port}" for ip in ips]
 
     def status(self, ip):
-        """Return the status of a control replica, or None."""
+        """Return the status of a control replica, or None if unavailable."""
         try:
             status, _, body = http_call(
                 f"{ip}:{self.port}", "GET", "/status", timeout=1
@@ -244,7 +251,7 @@
         return json.loads(body) if status == 200 else None
 
     def leader(self):
-        """Return the address of the leader, or None."""
+        """Return the IP address of a replica that reports to be leader, or None."""
         for ip in self.control_ips:
             status = self.status(ip)
             if status and status["role"] == "leader":
@@ -252,7 +259,7 @@
         return None
 
     def voters(self):
-        """Return the identities that vote, as the leader says."""
+        """Return the identities of the voters that the leader reports."""
         leader = self.leader()
         status = leader and self.status(leader)
         if not status:
@@ -260,12 +267,13 @@
         return [one["identity"] for one in status["members"] if one["voter"]]
 
     def whole_group(self, lost=()):
-        """Return the identities of the voters by their addresses, if all are there.
+        """Return the voters' identities by IP address, or None if incomplete.
 
-        None while one is missing, or being replaced.
+        The group is complete when it has as many members as control replicas
+        and all are voters.
 
         `lost`
-            Identities that have to be replaced.
+            Identities of lost replicas, which must have been replaced.
         """
         leader = self.leader()
         status = leader and self.status(leader)
@@ -279,7 +287,7 @@
         return identity_by_ip if len(identity_by_ip) == len(members) else None
 
     def put_config(self, version, queues=("/q/",)):
-        """Send a configuration to any control replica; return the status."""
+        """Send a configuration to a control replica; return the HTTP status."""
         body = config_body(version, queues)
         return self.on_any_control("PUT", "/-/config", body)[0]
 
@@ -318,7 +326,11 @@
         return wait_for(call, what=f"{method} {path}")
 
     def submit(self, job, *widths):
-        """Hand in a job whose steps have these widths; return the status."""
+        """Submit a job with a chain of steps; return the HTTP status.
+
+        `widths`
+            Number of tasks of each step.
+        """
         steps = [
             {"count": width, "cpu": 500, "after": [at - 1] if at else []}
             for at, width in enumerate(widths)
@@ -331,17 +343,20 @@
         return json.loads(self.call("GET", f"/q/{job}")[2])["state"]
 
     def events(self):
-        """Return what the minions noted: when, what, who, task, run."""
+        """Return the events that the minions recorded.
+
+        Each is a list: time, kind, minion, task, run.
+        """
         if not self.notes.exists():
             return []
         return [json.loads(line) for line in self.notes.read_text().splitlines()]
 
     def starts_of(self, task):
-        """Return how often a task was started."""
+        """Return how many runs of a task were started."""
         return sum(row[1] == "start" and row[3] == task for row in self.events())
 
     def doubled_tasks(self):
-        """Return the tasks that ran twice at once, or again after their end."""
+        """Return the tasks with two runs at once, or a run after a completed one."""
         open_runs = {}
         done = set()
         doubled = set()
--- a/standin/taskminion.py
+++ b/standin/taskminion.py
@@ -2,8 +2,8 @@
 standin.taskminion
 ~~~~~~~~~~~~~~~~~~
 
-A stand-in for a minion of the users' platform, over HTTP: runs tasks
-under leases, and misbehaves on request.
+A stub of a minion of the users' platform, over HTTP: runs tasks under
+leases, with fault injection.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -20,19 +20,23 @@
 
 from hingepitch.httpd import HttpServer
 
-__all__ = ["Misbehaviour", "TaskMinion"]
+__all__ = ["InjectedFaults", "TaskMinion"]
 
-LIFE_NUMBERS = itertools.count(1)
+INCARNATION_NUMBERS = itertools.count(1)
 
 
 @dataclass
-class Misbehaviour:
-    """What goes wrong; each list is used up from its start.
+class InjectedFaults:
+    """The faults of the next calls; each call takes the first of its list.
 
     `starts`, `stops`, `looks`
-        For the next calls of that kind: `late` leaves it unanswered and
-        carries it out after `late_seconds`, `lost` carries it out and loses
-        the answer, `dropped` does neither, a number is a status.
+        Faults of the calls that start a run, stop a run or poll the status.
+        `late`: the call is executed after `late_seconds` and not answered.
+        `lost`: it is executed, and the answer is lost. `dropped`: it is neither
+        executed nor answered. A number: it is refused with this HTTP status.
+        None: no fault.
+    `late_seconds`
+        Delay of a `late` call. Default: 0.3.
     """
 
     starts: list = field(default_factory=list)
@@ -42,40 +46,53 @@
 
 
 @dataclass
-class Running:
-    """A run that goes on."""
+class ActiveRun:
+    """A run in progress.
+
+    `lease_until`
+        End of the minion's lease when the run started, in ms of its clock.
+    `saved`
+        Saved progress. Default: none.
+    """
 
     task: str
     run: int
-    until: float
+    lease_until: float
     saved: str = ""
 
 
 class Dropped(Exception):
-    """The connection ends without an answer."""
+    """Signals that the connection ends without an answer; never raised."""
 
 
 class TaskMinion:
-    """One minion; `restart` gives it another life at the same address.
+    """One minion; `restart` gives it a new incarnation at the same address.
 
     `task_seconds`
-        How long each task runs, or None: until it is stopped.
+        How long each task runs; None: until it is stopped. Default: None.
     `capacity`
-        Millicores; a start over it is refused.
+        Capacity in millicores; each run takes 1000, and a start beyond it is
+        refused. Default: 16,000.
+    `faults`
+        The `InjectedFaults` of the next calls.
+    `starts`
+        Task, run and body of each call that started a run.
+    `calls`
+        Kind and body of each call, also refused ones.
     """
 
     def __init__(self, task_seconds=None, capacity=16_000):
         self.task_seconds = task_seconds
         self.capacity = capacity
-        self.faults = Misbehaviour()
+        self.faults = InjectedFaults()
         self.starts = []
         self.calls = []
-        self.begin_life()
+        self.begin_incarnation()
         self.listen(0)
         self.address = f"127.0.0.1:{self.server.server.server_port}"
 
     def listen(self, port):
-        """Serve the calls at a port; 0: any free one."""
+        """Serve calls on a port; 0 chooses a free one."""
         api = falcon.App()
         for path in ("run-start", "run-stop", "hold", "pace"):
             suffix = path.replace("-", "_")
@@ -85,29 +102,32 @@
         self.server.start()
         self.is_up = True
 
-    def begin_life(self):
-        """Begin a life with nothing running and no fence seen."""
-        self.life = f"i-{next(LIFE_NUMBERS)}"
+    def begin_incarnation(self):
+        """Begin an incarnation with no runs and no fencing token."""
+        self.life = f"i-{next(INCARNATION_NUMBERS)}"
         self.fence = 0
         self.running = {}
         self.ended = []
         self.end_numbers = itertools.count(1)
-        self.barred_runs = {}
-        self.until = 0.0
-        self.news = Event()
+        self.barred_run_by_task = {}
+        self.lease_until = 0.0
+        self.run_end_event = Event()
 
     def restart(self):
-        """Crash, and come back as another life."""
-        self.begin_life()
+        """Crash and come back at once as a new incarnation."""
+        self.begin_incarnation()
 
     def crash(self, down_seconds):
-        """Crash: connections end, and another life is back after a while."""
+        """Crash: close all connections; come back after `down_seconds`.
+
+        The new incarnation listens on the same port.
+        """
         if not self.is_up:
             return
         self.is_up = False
         port = self.server.server.server_port
-        self.begin_life()
-        # At once: a crash answers nothing that is under way.
+        self.begin_incarnation()
+        # No grace period: a crash must leave the calls in progress unanswered.
         self.server.server.stop(timeout=0)
         gevent.spawn_later(down_seconds, self.listen, port)
 
@@ -115,31 +135,32 @@
         """Stop the server."""
         self.server.stop()
 
-    # The clock and the leases.
-
     def clock_ms(self):
-        """The minion's steady clock; far from ours."""
+        """Return the minion's clock in ms, offset from this process's clock."""
         return int(time.monotonic() * 1000) + 5_000_000
 
     def end(self, task, how):
-        """End a run, and list it."""
+        """End a run and add it to the list of ended runs."""
         run = self.running.pop(task)
-        self.barred_runs[task] = max(self.barred_runs.get(task, 0), run.run)
+        self.barred_run_by_task[task] = max(
+            self.barred_run_by_task.get(task, 0), run.run
+        )
         number = next(self.end_numbers)
         self.ended.append([number, task, run.run, how, run.saved])
-        self.news.set()
-        self.news = Event()
+        self.run_end_event.set()
+        self.run_end_event = Event()
 
-    def lapse(self):
-        """End everything whose lease is over."""
-        if self.clock_ms() > self.until:
+    def expire_runs(self):
+        """End all runs if the minion's lease has expired."""
+        if self.clock_ms() > self.lease_until:
             for task in list(self.running):
                 self.end(task, "lapsed")
 
-    # The calls.
+    def read_call(self, req, resp, kind):
+        """Record a call and return its body.
 
-    def begin(self, req, resp, kind):
-        """Return the body of a call, after the misbehaviour that is due."""
+        Raises status 421 if the call is meant for another incarnation.
+        """
         body = msgspec.json.decode(req.bounded_stream.read())
         self.calls.append((kind, body))
         if req.get_header("Expect-Instance") != self.life:
@@ -147,12 +168,12 @@
         return body
 
     def answer(self, resp, status, **fields):
-        """Answer with the clock."""
+        """Answer with the fields and the minion's clock."""
         resp.status = status
         resp.data = msgspec.json.encode({"clock_ms": self.clock_ms(), **fields})
 
-    def carry_out(self, faults, resp, function, body):
-        """Carry out a call, as the next of `faults` says."""
+    def execute_with_fault(self, faults, resp, function, body):
+        """Execute a call and answer it, subject to the next of `faults`."""
         fault = faults.pop(0) if faults else None
         if isinstance(fault, int):
             raise falcon.HTTPStatus(fault)
@@ -167,7 +188,7 @@
         self.answer(resp, status, **fields)
 
     def is_fenced(self, body):
-        """Whether an order is of an earlier leader; note a later one."""
+        """Whether a call has a stale fencing token; remember a newer token."""
         token = body.get("fencing_token", 0)
         if token < self.fence:
             return True
@@ -175,76 +196,82 @@
         return False
 
     def on_post_run_start(self, req, resp):
-        """Start a run."""
-        body = self.begin(req, resp, "start")
-        self.carry_out(self.faults.starts, resp, self.start_run, body)
+        """Handle a call that starts a run."""
+        body = self.read_call(req, resp, "start")
+        self.execute_with_fault(self.faults.starts, resp, self.start_run, body)
 
     def start_run(self, body):
-        """Start a run; return the status and the fields of the answer."""
-        self.lapse()
+        """Start a run; return the HTTP status and the fields of the answer."""
+        self.expire_runs()
         if self.is_fenced(body):
             return 409, {"reason": "fence"}
         task, run = body["task"], body["run"]
         present = self.running.get(task)
         if present is not None and present.run == run:
             return 200, {}
-        if run <= self.barred_runs.get(task, 0) or present is not None:
+        if run <= self.barred_run_by_task.get(task, 0) or present is not None:
             return 409, {"reason": "old"}
         if body["until_ms"] < self.clock_ms():
             return 409, {"reason": "late"}
-        self.until = max(self.until, body["until_ms"])
+        self.lease_until = max(self.lease_until, body["until_ms"])
         if len(self.running) * 1000 >= self.capacity:
             return 409, {"reason": "room"}
-        self.running[task] = Running(task, run, self.until)
+        self.running[task] = ActiveRun(task, run, self.lease_until)
         self.starts.append((task, run, body))
         if self.task_seconds is not None:
             gevent.spawn_later(self.task_seconds, self.finish, self.life, task, run)
         return 200, {}
 
     def finish(self, life, task, run, how="done"):
-        """End a run by itself, if it still goes on."""
+        """End a run with the result `how`, if it is still active.
+
+        Does nothing after a crash or restart, when `life` is no longer current.
+        """
         present = self.running.get(task)
         if life == self.life and present is not None and present.run == run:
             self.end(task, how)
 
     def on_post_run_stop(self, req, resp):
-        """Stop a run."""
-        body = self.begin(req, resp, "stop")
-        self.carry_out(self.faults.stops, resp, self.stop_run, body)
+        """Handle a call that stops a run."""
+        body = self.read_call(req, resp, "stop")
+        self.execute_with_fault(self.faults.stops, resp, self.stop_run, body)
 
     def stop_run(self, body):
-        """Stop a run; return the status and the fields of the answer."""
+        """Stop a run; return the HTTP status and the fields of the answer."""
         if self.is_fenced(body):
             return 409, {"reason": "fence"}
         task, run = body["task"], body["run"]
-        self.barred_runs[task] = max(self.barred_runs.get(task, 0), run)
+        self.barred_run_by_task[task] = max(self.barred_run_by_task.get(task, 0), run)
         present = self.running.get(task)
         if present is not None and present.run <= run:
             self.end(task, "stopped")
         return 200, {}
 
     def on_post_pace(self, req, resp):
-        """Take the pace of a run."""
-        body = self.begin(req, resp, "pace")
+        """Handle a call that sets the pace of a run; only fencing is simulated."""
+        body = self.read_call(req, resp, "pace")
         status, fields = (
             (409, {"reason": "fence"}) if self.is_fenced(body) else (200, {})
         )
         self.answer(resp, status, **fields)
 
     def on_post_hold(self, req, resp):
-        """Renew the lease, and list what runs and what ended."""
-        body = self.begin(req, resp, "look")
-        self.carry_out(self.faults.looks, resp, self.look, body)
+        """Handle a status poll, which also renews the lease."""
+        body = self.read_call(req, resp, "look")
+        self.execute_with_fault(self.faults.looks, resp, self.poll, body)
+
+    def poll(self, body):
+        """Renew the lease; return the HTTP status and the active and ended runs.
 
-    def look(self, body):
-        """Return the status and the lists of a look."""
-        self.lapse()
+        With nothing to report, wait up to `wait_ms` for the end of a run.
+        """
+        self.expire_runs()
         if self.is_fenced(body):
             return 409, {"reason": "fence"}
-        self.until = max(self.until, body.get("until_ms", 0))
+        self.lease_until = max(self.lease_until, body.get("until_ms", 0))
         seen = body.get("last_seen", 0)
         self.ended = [row for row in self.ended if row[0] > seen]
         if not self.ended and body.get("wait_ms"):
-            self.news.wait(body["wait_ms"] / 1000)
+            self.run_end_event.wait(body["wait_ms"] / 1000)
         rows = [[one.task, one.run, one.saved, 100, 0] for one in self.running.values()]
         return 200, {"running": rows, "finished": self.ended[:500]}
--- a/standin/wave_trial.py
+++ b/standin/wave_trial.py
@@ -2,8 +2,8 @@
 standin.wave_trial
 ~~~~~~~~~~~~~~~~~~
 
-Maintenance waves in simulated time: the product's policy against
-simpler ones, on the same seeded fleets.
+Simulates maintenance waves and compares the product's policy with simpler
+ones on the same seeded fleets.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -22,7 +22,7 @@
 from hingepitch.planner.wave import plan_wave
 from standin.measure import print_table
 
-#: Ticks that a VM is down for its reboot; drawn for each VM.
+#: Range of the ticks that a reboot takes; drawn at random for each VM.
 REBOOT_TICKS = (3, 9)
 MAX_TICKS = 5000
 LOSS_CHANCE = 0.002
@@ -34,12 +34,20 @@
 
 @dataclass(slots=True)
 class TrialResult:
-    """What one trial came to.
+    """The result of one trial.
 
+    `ticks`
+        Duration of the wave.
+    `lower_bound`
+        Ticks that every policy needs.
     `buffer_cost`
-        Part of the VM-ticks that the budgets held back without use.
+        Unused disruption budget, summed over ticks, as a share of all VM-ticks.
+    `moves`
+        Number of reboots.
+    `refused`
+        Number of permits that the state machine refused.
     `broken`
-        Times that a permit was granted above a budget.
+        Number of times that a permit exceeded a disruption budget.
     """
 
     policy: str
@@ -52,12 +60,16 @@
 
 
 class Trial:
-    """One fleet of services under one policy.
+    """The simulation of one wave over one fleet under one policy.
 
+    `policy`
+        Function of the trial; yields the names of the VMs to reboot.
     `services`
-        How many services of 8 VMs each. Some VMs carry two services.
+        Number of services of 8 VMs each; some VMs carry two services.
     `seed`
-        Seed of the fleet and of the losses.
+        Seed of the fleet and of the rack losses.
+    `with_losses`
+        Whether racks are lost at random. Default: True.
     """
 
     def __init__(self, policy, services, seed, with_losses=True):
@@ -84,7 +96,7 @@
         return apply(self.state, envelope, self.index)
 
     def build(self, services):
-        """Declare pool, VMs and services; some VMs carry two services."""
+        """Declare the pool, VMs, services and campaign, and take the planner lease."""
         self.send(commands.PutPool("pool"))
         for number in range(services * VMS_IN_SERVICE):
             own = number // VMS_IN_SERVICE
@@ -121,7 +133,7 @@
         return self.state.by_kind["vm"]
 
     def view(self):
-        """Return what the platform shows."""
+        """Return the platform's view of the VMs."""
         return PlatformView(
             {
                 name: PlatformVm(
@@ -134,21 +146,26 @@
         )
 
     def run(self):
-        """Run to the end; return the `TrialResult`."""
-        idle = spare = 0
+        """Run until all VMs are maintained; return the `TrialResult`.
+
+        Raises `TimeoutError` after `MAX_TICKS`.
+        """
+        unused_ticks = vm_ticks = 0
         for tick in range(1, MAX_TICKS):
-            self.lose(tick)
-            self.come_back(tick)
+            self.lose_rack(tick)
+            self.return_vms(tick)
             if all(vm.maintained_version for vm in self.vms().values()):
-                return self.result(tick, idle / max(1, spare))
+                return self.result(tick, unused_ticks / max(1, vm_ticks))
             for name in list(self.policy(self)):
                 self.grant(name, tick)
-            idle += self.unused_budget()
-            spare += len(self.vms())
-        raise TimeoutError(f"{self.policy.__name__} did not end")
+            unused_ticks += self.unused_budget()
+            vm_ticks += len(self.vms())
+        raise TimeoutError(
+            f"{self.policy.__name__}: unmaintained VMs at the tick limit"
+        )
 
     def grant(self, name, tick):
-        """Take a VM out for its reboot, if the state machine lets it."""
+        """Request a permit for a VM and start its reboot if it is granted."""
         boot = f"boot-{self.boots.get(name, 0)}"
         permit = commands.GrantPermit(name, Purpose.MAINTENANCE, boot)
         if not self.send(permit, Role.PLANNER).accepted:
@@ -159,8 +176,8 @@
         self.send(commands.MarkDrained(name), Role.PLANNER)
         self.back_at[name] = tick + self.reboot_ticks[name]
 
-    def come_back(self, tick):
-        """Bring rebooted and lost VMs back."""
+    def return_vms(self, tick):
+        """Bring back the VMs whose reboot or loss ends by this tick."""
         for name, due in list(self.back_at.items()):
             if tick >= due:
                 del self.back_at[name]
@@ -172,8 +189,8 @@
                 del self.lost_until[name]
                 self.send(commands.ReportHealthy(name, "x"), Role.PLANNER)
 
-    def lose(self, tick):
-        """Lose a rack now and then; VMs that are out are spared."""
+    def lose_rack(self, tick):
+        """Lose the live VMs of a rack at random; VMs in maintenance are not lost."""
         if not self.with_losses or self.losses.random() > LOSS_CHANCE * 10:
             return
         rack = f"rack-{self.losses.randrange(len(self.vms()) // VMS_IN_RACK)}"
@@ -183,14 +200,17 @@
                 self.lost_until[vm.name] = tick + LOST_TICKS
 
     def unused_budget(self):
-        """Return the VMs that budgets hold back and nothing uses."""
+        """Return the unused disruption budget, summed over the services."""
         return sum(
             max(0, service.max_down - self.state.count_down(service))
             for service in self.state.by_kind["service"].values()
         )
 
     def lower_bound(self):
-        """Return the ticks below which no policy can end."""
+        """Return the ticks that every policy needs at least.
+
+        Each service needs the sum of its VMs' reboots divided by its budget.
+        """
         bounds = []
         for service in self.state.by_kind["service"].values():
             ticks = sum(
@@ -213,14 +233,14 @@
 
 
 def product(trial):
-    """The product's policy."""
+    """Yield the VMs that the product's planner chooses."""
     for step in plan_wave(trial.state, trial.view(), 0, ["pool"]):
         if isinstance(step, Propose):
             yield step.command.vm
 
 
 def waiting(trial):
-    """Return the live VMs that were not maintained, in the order of names."""
+    """Return the live VMs that are not yet maintained, ordered by name."""
     return [
         vm
         for name, vm in sorted(trial.vms().items())
@@ -229,14 +249,14 @@
 
 
 def one_at_a_time(trial):
-    """One VM of the whole fleet at a time."""
+    """Yield one VM when no other in the fleet is in maintenance."""
     if not trial.back_at:
         for vm in waiting(trial)[:1]:
             yield vm.name
 
 
 def rack_by_rack(trial):
-    """The VMs of one rack, as far as the budgets go, then the next rack."""
+    """Yield the VMs of one rack at a time; the budgets may refuse some."""
     left = waiting(trial)
     racks_out = {trial.vms()[name].rack for name in trial.back_at}
     racks = racks_out or {vm.rack for vm in left[:1]}
@@ -246,7 +266,7 @@
 
 
 def random_order(trial):
-    """All VMs in random order, as far as the budgets go."""
+    """Yield all unmaintained VMs in random order; the budgets may refuse some."""
     left = waiting(trial)
     trial.random.shuffle(left)
     for vm in left:
@@ -257,7 +277,10 @@
 
 
 def compare(services, seeds):
-    """Return rows of sums over the same seeds, for every policy."""
+    """Return a row for each policy with sums over the same seeds.
+
+    The buffer cost is averaged.
+    """
     rows = []
     for policy in POLICIES:
         results = [Trial(policy, services, seed).run() for seed in seeds]
@@ -278,7 +301,7 @@
 
 
 def main():
-    """Print the comparison for today's size and for ten times that."""
+    """Print the comparison for today's fleet size and for ten times that size."""
     columns = (
         "policy",
         "ticks",
