--- a/standin/taskminion.py
+++ b/standin/taskminion.py
@@ -49,7 +49,7 @@
 class ActiveRun:
     """A run in progress.
 
-    `lease_until`
+    `until`
         End of the minion's lease when the run started, in ms of its clock.
     `saved`
         Saved progress. Default: none.
@@ -57,7 +57,7 @@
 
     task: str
     run: int
-    lease_until: float
+    until: float
     saved: str = ""
 
 
@@ -110,7 +110,7 @@
         self.ended = []
         self.end_numbers = itertools.count(1)
         self.barred_run_by_task = {}
-        self.lease_until = 0.0
+        self.until = 0.0
         self.run_end_event = Event()
 
     def restart(self):
@@ -152,7 +152,7 @@
 
     def expire_runs(self):
         """End all runs if the minion's lease has expired."""
-        if self.clock_ms() > self.lease_until:
+        if self.clock_ms() > self.until:
             for task in list(self.running):
                 self.end(task, "lapsed")
 
@@ -213,10 +213,10 @@
             return 409, {"reason": "old"}
         if body["until_ms"] < self.clock_ms():
             return 409, {"reason": "late"}
-        self.lease_until = max(self.lease_until, body["until_ms"])
+        self.until = max(self.until, body["until_ms"])
         if len(self.running) * 1000 >= self.capacity:
             return 409, {"reason": "room"}
-        self.running[task] = ActiveRun(task, run, self.lease_until)
+        self.running[task] = ActiveRun(task, run, self.until)
         self.starts.append((task, run, body))
         if self.task_seconds is not None:
             gevent.spawn_later(self.task_seconds, self.finish, self.life, task, run)
@@ -268,7 +268,7 @@
         self.expire_runs()
         if self.is_fenced(body):
             return 409, {"reason": "fence"}
-        self.lease_until = max(self.lease_until, body.get("until_ms", 0))
+        self.until = max(self.until, body.get("until_ms", 0))
         seen = body.get("last_seen", 0)
         self.ended = [row for row in self.ended if row[0] > seen]
         if not self.ended and body.get("wait_ms"):
