--- a/tests/scene.py
+++ b/tests/scene.py
@@ -255,7 +255,7 @@
 
     def behave(self, names, **behaviour):
         for name in names:
-            self.cluster.world("/behave", {"vm": name, **behaviour})
+            self.cluster.call_simulation("/behave", {"vm": name, **behaviour})
 
     def vms_of(self, partner):
         return [
--- a/tests/steps/failure.py
+++ b/tests/steps/failure.py
@@ -8,7 +8,7 @@
 
 @when(parsers.parse("the VM {name} is lost"))
 def lose_vm(scene, name):
-    scene.cluster.world("/lose", {"vms": [name]})
+    scene.cluster.call_simulation("/lose", {"vms": [name]})
     wait_for(lambda: scene.cluster.objects("vm")[name]["life"] == "lost")
 
 
@@ -16,7 +16,7 @@
 def lose_rack(scene, rack, count):
     scene.wait_reboots(count)
     names = scene.vms_in(rack)
-    scene.cluster.world("/lose", {"vms": names})
+    scene.cluster.call_simulation("/lose", {"vms": names})
 
     def are_lost():
         vms = scene.cluster.objects("vm")
@@ -34,12 +34,12 @@
 
 @when(parsers.parse("the rack {rack} comes back"))
 def recover_rack(scene, rack):
-    scene.cluster.world("/recover", {"vms": scene.vms_in(rack)})
+    scene.cluster.call_simulation("/recover", {"vms": scene.vms_in(rack)})
 
 
 @when(parsers.parse("the VM {name} comes back"))
 def recover_vm(scene, name):
-    scene.cluster.world("/recover", {"vms": [name]})
+    scene.cluster.call_simulation("/recover", {"vms": [name]})
 
 
 @when(parsers.re(r"the minions of (?P<name>[pj]\d) answer after (?P<delay>\d+) ms"))
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -301,7 +301,7 @@
     here.register(1, second)
     here.replica.wake()
     assert wait_until(lambda: second.running, 20)
-    assert first.clock_ms() > first.until
+    assert first.clock_ms() > first.lease_until
 
 
 def test_a_task_on_a_silent_minion_is_not_taken_to_be_at_work(rig):
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -50,7 +50,7 @@
     session = rig.dispatcher.session
     (agent,) = session.agent_by_minion.values()
     assert wait_until(lambda: agent.looks.polled_at > 0, SECONDS)
-    rig.relays[0].silence()
+    rig.relays[0].stall_connections()
     unresponsive_at = lease_seconds()
     for name in list(minion.running):
         minion.end(name, "done")
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -82,7 +82,7 @@
     for ip in site.control_ips:
         site.restart(ip)
     wait_until_succeeded(site, JOBS[:10])
-    body = site.on_any_control("GET", "/-/config")[2]
+    body = site.call_any_control("GET", "/-/config")[2]
     assert b'"version": 5' in body
 
 
@@ -110,16 +110,16 @@
     for job in JOBS[:10]:
         assert site.submit(job, 3, 2) == 200
     crashing_task = f"{CRASHING_JOB}.0.0.0"
-    wait_for(lambda: site.starts_of(crashing_task) >= 1, 20, "a first crash")
+    wait_for(lambda: site.count_starts(crashing_task) >= 1, 20, "a first crash")
     site.process_by_ip[site.leader()].kill()
-    wait_for(lambda: site.starts_of(crashing_task) >= 2, 30, "a second crash")
+    wait_for(lambda: site.count_starts(crashing_task) >= 2, 30, "a second crash")
     for ip in site.control_ips:
         if site.is_running(ip):
             site.process_by_ip[ip].kill()
     for ip in site.control_ips:
         site.restart(ip)
     wait_for(lambda: site.state(CRASHING_JOB) == "failed", 40, "the job given up")
-    assert site.starts_of(crashing_task) <= MAX_STARTS
+    assert site.count_starts(crashing_task) <= MAX_STARTS
     wait_until_succeeded(site, JOBS[:10])
 
 
--- a/tests/test_site_ends.py
+++ b/tests/test_site_ends.py
@@ -52,7 +52,7 @@
 
 def put_wave(site):
     body = {"wave": 1, "machines": ["m-0"], "duration_s": 30, "max_items": 1}
-    return site.on_any_control("POST", "/-/wave-start", json.dumps(body))[0]
+    return site.call_any_control("POST", "/-/wave-start", json.dumps(body))[0]
 
 
 def wait_until_succeeded(site, jobs):
