--- a/hingepitch/app.py
+++ b/hingepitch/app.py
@@ -84,7 +84,7 @@
         )
 
     def stop_process(self, broken):
-        """Stop the process because a child failed for good.
+        """Stop the process after an unrecoverable failure of a child.
 
         `broken`
             Whether the state that the process holds must not be used any more.
@@ -150,7 +150,7 @@
     configure_log(application.program, application.settings.log_level, buffer.write)
     # The hub prints uncaught errors; a write to standard error would block.
     gevent.get_hub().exception_stream = buffer
-    flusher = gevent.spawn(buffer.keep_flushing)
+    flusher = gevent.spawn(buffer.flush_forever)
     try:
         return application.run()
     finally:
--- a/hingepitch/disk.py
+++ b/hingepitch/disk.py
@@ -62,8 +62,8 @@
 class Disk:
     """File system operations that a data folder needs.
 
-    Tests replace it by a stub that drops writes that no sync covers. Methods
-    raise `OSError`.
+    Tests replace it by a stub that simulates the loss of unsynced writes.
+    Methods raise `OSError`.
     """
 
     def open(self, path):
--- a/hingepitch/durable.py
+++ b/hingepitch/durable.py
@@ -38,7 +38,7 @@
 
 
 def catch_os_error(function, arguments):
-    """Return the OSError of a call; raised, the thread pool would print it."""
+    """Return the OSError of a call; the thread pool prints one that is raised."""
     try:
         function(*arguments)
     except OSError as error:
--- a/hingepitch/entry/balance.py
+++ b/hingepitch/entry/balance.py
@@ -30,7 +30,10 @@
 #: fraction of the own hall's limits.
 LOADED_FRACTION = 0.8
 
+#: Weight of a new result in the moving average of the success rate.
 SUCCESS_WEIGHT = 0.1
+
+#: Limit of requests in flight when an ejection ends.
 SLOW_START_LIMIT = 1
 LIMIT_DECREASE_FACTOR = 0.7
 
@@ -68,15 +71,15 @@
         """
         return (self.in_flight + 1) / max(0.02, self.success)
 
-    def note_success(self, slots):
+    def record_success(self, slots):
         """Record a successful request and raise the limit."""
         self.consecutive_failures = 0
         self.consecutive_ejections = 0
         self.success += SUCCESS_WEIGHT * (1 - self.success)
         self.limit = min(slots, self.limit + 1 / max(1.0, self.limit))
 
-    def note_failure(self, now):
-        """Record a failed request, lower the limit and eject if due."""
+    def record_failure(self, now):
+        """Record a failed request and lower the limit; eject after `EJECT_AFTER`."""
         self.consecutive_failures += 1
         self.success -= SUCCESS_WEIGHT * self.success
         self.limit = max(1.0, self.limit * LIMIT_DECREASE_FACTOR)
@@ -84,7 +87,7 @@
             self.eject(now)
 
     def eject(self, now):
-        """Eject the minion with exponential backoff, then use slow start."""
+        """Eject the minion with exponential backoff; it returns with slow start."""
         doubled = FIRST_EJECTION_SECONDS * 2**self.consecutive_ejections
         self.ejected_until = now + min(doubled, MAX_EJECTION_SECONDS)
         self.consecutive_ejections = min(self.consecutive_ejections + 1, 16)
@@ -107,8 +110,8 @@
     `hall`
         The hall of this entry.
     `is_live_by_platform`
-        Function from a VM's name: False if the platform lists the VM as
-        leaving. It only excludes VMs.
+        Function of a VM's name: False if the platform lists the VM as leaving.
+        True does not make a VM live.
     `seed`
         Seed of the random choices.
     """
@@ -123,10 +126,14 @@
 
     def health(self, service, vm_name):
         """Return the `MinionHealth` of one minion, created on first use."""
-        known = self.health_by_service.setdefault(service.name, ServiceHealth())
-        health = known.health_by_vm.get(vm_name)
+        service_health = self.health_by_service.setdefault(
+            service.name, ServiceHealth()
+        )
+        health = service_health.health_by_vm.get(vm_name)
         if health is None:
-            health = known.health_by_vm[vm_name] = MinionHealth(float(service.slots))
+            health = service_health.health_by_vm[vm_name] = MinionHealth(
+                float(service.slots)
+            )
         return health
 
     def live_minions(self, service):
@@ -155,23 +162,23 @@
         """
         live = list(self.candidates(service, avoid))
         now = lease_seconds()
-        good = [pair for pair in live if not pair[1].is_ejected(now)]
-        if len(good) < len(live) * PANIC_FRACTION:
-            good = live
-        free = [pair for pair in good if pair[1].has_free_slot()]
+        available = [pair for pair in live if not pair[1].is_ejected(now)]
+        if len(available) < len(live) * PANIC_FRACTION:
+            available = live
+        free = [pair for pair in available if pair[1].has_free_slot()]
         if not free:
             return None
-        return self.choose_of_two(self.prefer_own_hall(free))
+        return self.choose_cheaper_of_two(self.prefer_own_hall(free))
 
     def prefer_own_hall(self, free):
         """Return the pairs of the own hall unless it is loaded, else all pairs."""
-        near = [pair for pair in free if pair[0].hall == self.hall]
-        in_flight = sum(health.in_flight for _, health in near)
-        limit = sum(health.limit for _, health in near)
-        return near if near and in_flight < limit * LOADED_FRACTION else free
+        own_hall = [pair for pair in free if pair[0].hall == self.hall]
+        in_flight = sum(health.in_flight for _, health in own_hall)
+        limit = sum(health.limit for _, health in own_hall)
+        return own_hall if own_hall and in_flight < limit * LOADED_FRACTION else free
 
-    def choose_of_two(self, pairs):
-        """Return the cheaper of two randomly chosen pairs."""
+    def choose_cheaper_of_two(self, pairs):
+        """Return the cheaper of two random pairs (power of two choices)."""
         first = self.random.choice(pairs)
         second = self.random.choice(pairs)
         return min(first, second, key=lambda pair: pair[1].cost())
@@ -181,21 +188,21 @@
         return any(True for _ in self.candidates(service))
 
     def in_flight_by_vm(self):
-        """Return the number of requests in flight by leaving VM."""
+        """Return the requests in flight by VM, for VMs with a `Permit` to leave."""
         counts = {}
-        for known in self.health_by_service.values():
-            for vm_name, health in known.health_by_vm.items():
+        for service_health in self.health_by_service.values():
+            for vm_name, health in service_health.health_by_vm.items():
                 if health.in_flight:
                     counts[vm_name] = counts.get(vm_name, 0) + health.in_flight
-        down = self.state().by_kind["permit"]
-        return {name: count for name, count in counts.items() if name in down}
+        permits = self.state().by_kind["permit"]
+        return {name: count for name, count in counts.items() if name in permits}
 
-    def forget_removed(self):
-        """Drop the health of minions whose VM was removed."""
+    def drop_removed_vms(self):
+        """Drop the health of idle minions whose VM was removed."""
         vms = self.state().by_kind["vm"]
-        for known in self.health_by_service.values():
-            for vm_name in list(known.health_by_vm):
-                health = known.health_by_vm[vm_name]
+        for service_health in self.health_by_service.values():
+            for vm_name in list(service_health.health_by_vm):
+                health = service_health.health_by_vm[vm_name]
                 if vm_name not in vms and not health.in_flight:
-                    del known.health_by_vm[vm_name]
+                    del service_health.health_by_vm[vm_name]
         self.live_by_service.clear()
--- a/hingepitch/entry/caller.py
+++ b/hingepitch/entry/caller.py
@@ -87,7 +87,7 @@
         limit = declared.max_body_bytes if declared else 0
         if declared and (req.content_length or 0) > limit:
             raise HingepitchError("body_too_large", f"the body exceeds {limit} bytes")
-        longest_ms = declared.deadline_ms if declared else DEFAULT_DEADLINE_MS
+        max_ms = declared.deadline_ms if declared else DEFAULT_DEADLINE_MS
         key = req.get_header(KEY_HEADER) or ""
         if len(key) > MAX_KEY_CHARS:
             raise HingepitchError("bad_request", f"{KEY_HEADER} is too long")
@@ -97,7 +97,7 @@
             target=build_target(req, service),
             headers=list(header_pairs(req.env)),
             body=read_body(req, limit) if declared else b"",
-            deadline=started + read_deadline_ms(req, longest_ms) / 1000,
+            deadline=started + read_deadline_ms(req, max_ms) / 1000,
             priority=read_priority(req),
             key=key,
         )
@@ -143,16 +143,16 @@
     return bool(req.content_length) or "HTTP_TRANSFER_ENCODING" in req.env
 
 
-def read_deadline_ms(req, longest_ms):
-    """Return the caller's deadline in ms, at most `longest_ms`."""
+def read_deadline_ms(req, max_ms):
+    """Return the caller's deadline in ms, at most `max_ms`."""
     text = req.get_header(DEADLINE_HEADER)
     if text is None:
-        return longest_ms
+        return max_ms
     if not text.isdecimal() or len(text) > 9:
         raise HingepitchError(
             "bad_request", f"{DEADLINE_HEADER}: expected a number of milliseconds"
         )
-    return min(int(text), longest_ms)
+    return min(int(text), max_ms)
 
 
 def read_priority(req):
--- a/hingepitch/entry/claim.py
+++ b/hingepitch/entry/claim.py
@@ -25,7 +25,9 @@
 #: Largest answer body that is recorded to be replayed to a resent request.
 MAX_RECORDED_BYTES = 65_536
 
-BACKGROUND_SECONDS = 30.0
+#: How long commands for a claim are retried in the background, in seconds.
+BACKGROUND_RETRY_SECONDS = 30.0
+
 RETRY_AFTER_MS = 1000
 LONG_RETRY_AFTER_MS = 60_000
 
@@ -105,14 +107,18 @@
         The request was not sent to a minion.
         """
         try:
-            outcome = self.propose(command, command_id, BACKGROUND_SECONDS)
+            outcome = self.propose(command, command_id, BACKGROUND_RETRY_SECONDS)
             if outcome.accepted:
                 self.release(outcome.claim)
         except HingepitchError as error:
             log_event("claim_left_open", key=command.key, error=error.code)
 
     def close(self, claim, answer, seconds):
-        """Record the answer; after `seconds`, continue in the background."""
+        """Record the answer of a claimed request.
+
+        After `seconds`, the method returns and the recording continues in the
+        background.
+        """
         recorded = answer.body if len(answer.body) <= MAX_RECORDED_BYTES else None
         content_types = [
             value for name, value in answer.headers if name.lower() == "content-type"
@@ -133,9 +139,9 @@
         self.record_end(ReleaseClaim(claim.service, claim.key, claim.version))
 
     def record_end(self, command):
-        """Propose the end of a claim, with retries for `BACKGROUND_SECONDS`."""
+        """Propose the end of a claim, with retries for `BACKGROUND_RETRY_SECONDS`."""
         command_id = f"claim-{uuid.uuid4().hex}"
         try:
-            self.propose(command, command_id, BACKGROUND_SECONDS)
+            self.propose(command, command_id, BACKGROUND_RETRY_SECONDS)
         except HingepitchError as error:
             log_event("claim_left_open", key=command.key, error=error.code)
--- a/hingepitch/entry/follower.py
+++ b/hingepitch/entry/follower.py
@@ -19,8 +19,10 @@
 
 __all__ = ["Follower"]
 
-WAIT_MS = 1000
-WAIT_WHILE_LEAVING_MS = 50
+#: How long a sync waits for changes. It is shorter while leaving VMs have requests
+#: in flight, so that the end of these requests is reported soon.
+SYNC_WAIT_MS = 1000
+DRAIN_SYNC_WAIT_MS = 50
 RETRY_PAUSE_SECONDS = 0.05
 
 
@@ -32,7 +34,7 @@
     `name`, `hall`
         Name and hall of this entry.
     `in_flight_by_vm`
-        Function: requests in flight by leaving VM.
+        Function: returns the number of requests in flight by leaving VM.
 
     A lease starts when the call that renews it is sent. The answer to that
     call also delivers every change accepted before it, so the state of an
@@ -64,13 +66,13 @@
                 gevent.sleep(RETRY_PAUSE_SECONDS)
 
     def sync(self):
-        """Renew the lease once and apply the changes."""
+        """Renew the lease once and apply the changes to the state."""
         in_flight = self.in_flight_by_vm()
         request = SyncRequest(
             entry=self.name,
             hall=self.hall,
             applied_version=self.version,
-            wait_ms=WAIT_WHILE_LEAVING_MS if in_flight else WAIT_MS,
+            wait_ms=DRAIN_SYNC_WAIT_MS if in_flight else SYNC_WAIT_MS,
             in_flight_by_vm=in_flight,
         )
         sent_at = lease_seconds()
--- a/hingepitch/entry/limit.py
+++ b/hingepitch/entry/limit.py
@@ -37,7 +37,7 @@
 class RetryBudget:
     """Token bucket that limits retries to a share of the requests.
 
-    It keeps retries from multiplying the load.
+    Without it, retries would multiply the load of overloaded minions.
 
     `share`
         Tokens that each request adds. Default: 0.1.
@@ -50,12 +50,12 @@
         self.burst = burst
         self.tokens = burst
 
-    def note_request(self):
-        """Count the first attempt of a request."""
+    def deposit(self):
+        """Add the tokens for the first attempt of a request."""
         self.tokens = min(self.burst, self.tokens + self.share)
 
-    def take(self):
-        """Consume the token of a retry; return whether there was one."""
+    def try_withdraw(self):
+        """Consume the token for a retry; return whether there was one."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -63,7 +63,11 @@
 
 
 class Waiter:
-    """A request that waits for a slot."""
+    """A request that waits for a slot.
+
+    `result`
+        Gets the `(vm, health)` of a minion, or a `Failure`.
+    """
 
     def __init__(self, request):
         self.request = request
@@ -75,12 +79,12 @@
     """Priority queue of one service's requests that wait for a free slot.
 
     `choose`
-        Function from the VMs to avoid: returns `(vm, health)` of a minion
-        with a free slot, or None.
+        Function of the names of VMs to avoid: returns `(vm, health)` of a
+        minion with a free slot, or None.
     `max_waiting`
         Function: the largest number of waiting requests.
     `seed`
-        Seed of the jitter.
+        Seed of the jitter of `retry_after_ms`.
     """
 
     def __init__(self, choose, max_waiting, seed=0):
@@ -123,11 +127,13 @@
             return self.overloaded("the expected wait exceeds the deadline")
         if self.waiting < self.max_waiting():
             return None
-        last = max((item for item in self.heap if not item[3].is_removed), default=None)
-        if last is None or last[0] <= request.priority:
+        least_urgent = max(
+            (item for item in self.heap if not item[3].is_removed), default=None
+        )
+        if least_urgent is None or least_urgent[0] <= request.priority:
             return self.overloaded("the queue is full")
-        self.remove_waiter(last[3])
-        last[3].result.set(self.overloaded("shed for a more urgent request"))
+        self.remove_waiter(least_urgent[3])
+        least_urgent[3].result.set(self.overloaded("shed for a more urgent request"))
         return None
 
     def wait(self, request):
--- a/hingepitch/entry/program.py
+++ b/hingepitch/entry/program.py
@@ -27,7 +27,7 @@
 
 __all__ = ["Entry", "main"]
 
-#: Longest wait for requests in flight when the entry stops.
+#: Longest wait for requests in flight when the entry stops, in seconds.
 FINISH_SECONDS = 30.0
 SERVE_QUEUES_SECONDS = 0.25
 CONTROL_CONNECTIONS = 16
@@ -50,11 +50,11 @@
             settings.shared_key,
             connections=CONTROL_CONNECTIONS,
         )
-        following = GroupClient(
+        follower_group = GroupClient(
             settings.control, settings.name, settings.shared_key, timeout_seconds=2.0
         )
         self.follower = Follower(
-            following,
+            follower_group,
             settings.name,
             settings.hall,
             lambda: self.balancer.in_flight_by_vm(),
@@ -89,7 +89,7 @@
         """
         while True:
             gevent.sleep(SERVE_QUEUES_SECONDS)
-            self.balancer.forget_removed()
+            self.balancer.drop_removed_vms()
             for context in self.proxy.context_by_service.values():
                 context.queue.serve()
 
--- a/hingepitch/entry/proxy.py
+++ b/hingepitch/entry/proxy.py
@@ -92,7 +92,7 @@
     def handle(self, request):
         """Return the `Answer` to `request`, or a `Failure`."""
         service = self.follower.state.get("service", request.service)
-        refusal = self.refusal(service, request)
+        refusal = self.check_admission(service, request)
         if refusal is not None:
             return refusal
         context = self.context(service.name)
@@ -108,7 +108,7 @@
             context.in_flight -= 1
             self.in_flight -= 1
 
-    def refusal(self, service, request):
+    def check_admission(self, service, request):
         """Return the `Failure` of a request that is not admitted, or None."""
         if not self.follower.has_lease():
             return Failure("no_lease", Execution.NOT_RUN, "", NO_LEASE_RETRY_MS)
@@ -125,11 +125,14 @@
 
     def send_repeatable(self, context, request):
         """Send a request; retry it on other minions within the retry budget."""
-        context.retries.note_request()
+        context.retries.deposit()
         avoid = set()
         result = self.send_avoiding(context, request, avoid)
         for _ in range(MAX_TRIES - 1):
-            if not self.is_worth_retry(result, request) or not context.retries.take():
+            if (
+                not self.is_worth_retry(result, request)
+                or not context.retries.try_withdraw()
+            ):
                 return result
             retried = self.send_avoiding(context, request, avoid)
             self.metrics.count("retries", "Requests tried again.", service=context.name)
@@ -207,9 +210,9 @@
     def record_result(self, health, result, service):
         """Update the health of a minion by the result of one attempt."""
         if isinstance(result, Answer) and result.status < 500:
-            health.note_success(service.slots)
+            health.record_success(service.slots)
         else:
-            health.note_failure(lease_seconds())
+            health.record_failure(lease_seconds())
 
 
 def is_unsent(result):
--- a/hingepitch/exchange.py
+++ b/hingepitch/exchange.py
@@ -168,7 +168,7 @@
         The failure is NOT_RUN only if no byte was sent.
         """
         try:
-            sock = self.take()
+            sock = self.acquire_connection()
         except OSError as error:
             return Failure("minion_failed", Execution.NOT_RUN, f"connect: {error}")
         seconds = request.deadline - lease_seconds()
@@ -190,8 +190,8 @@
             sock.close()
             raise
 
-    def take(self):
-        """Return an idle connection with no unread bytes, or a new one."""
+    def acquire_connection(self):
+        """Return an idle connection without unread bytes, or open a new one."""
         horizon = lease_seconds() - MAX_IDLE_SECONDS
         while self.idle:
             since, sock = self.idle.pop()
--- a/hingepitch/group.py
+++ b/hingepitch/group.py
@@ -20,7 +20,7 @@
 
 RETRY_PAUSE_SECONDS = 0.05
 
-#: Transient error codes: another replica may be asked the same.
+#: Transient error codes: the call may succeed at another replica.
 TRANSIENT_CODES = frozenset(
     (
         "not_leader",
@@ -100,16 +100,16 @@
         address = self.preferred
         try:
             answer = self.client(address).call(method, *arguments)
-            self.note_leader(address)
+            self.record_leader_found(address)
             return answer
         except HingepitchError as error:
             if error.code in TRANSIENT_CODES:
-                self.note_no_leader(address, error)
+                self.log_leader_lost(address, error)
                 self.prefer_next_replica(address, getattr(error, "leader", ""))
             raise
 
-    def note_leader(self, address):
-        """End the search for the leader; log it if the leader had been lost."""
+    def record_leader_found(self, address):
+        """End the search for the leader; log this if the leader had been lost."""
         self.reset_leader_search()
         if self.leader_lost_at is None:
             return
@@ -117,7 +117,7 @@
         self.leader_lost_at = None
         log_event("leader_found", address=address, seconds=seconds)
 
-    def note_no_leader(self, address, error):
+    def log_leader_lost(self, address, error):
         """Log once that the last leader does not answer or no longer leads."""
         if self.leader_lost_at is None:
             self.leader_lost_at = lease_seconds()
--- a/hingepitch/log.py
+++ b/hingepitch/log.py
@@ -105,7 +105,7 @@
     "lines_dropped": "WARNING",
 }
 
-LIMIT = EventLimit()
+EVENT_LIMIT = EventLimit()
 
 PLAIN_VALUE = re.compile(r"[\w.:/@+-]+\Z", re.ASCII)
 
@@ -130,9 +130,9 @@
     Lines over the rate limit are only counted; the counts of a second are
     logged by the first call in a later second.
     """
-    for withheld, count in LIMIT.take_withheld().items():
+    for withheld, count in EVENT_LIMIT.take_withheld().items():
         write_event("lines_withheld", {"of": withheld, "count": count})
-    if LIMIT.admits(event):
+    if EVENT_LIMIT.admits(event):
         write_event(event, pairs)
 
 
--- a/hingepitch/logsink.py
+++ b/hingepitch/logsink.py
@@ -60,7 +60,7 @@
         return self.count_by_event[event] <= self.lines_per_second
 
     def take_withheld(self):
-        """Return the number of withheld lines by event, once a second is over."""
+        """Return the counts of withheld lines by event, once their second is over."""
         second = int(self.clock())
         if second == self.second:
             return {}
@@ -107,20 +107,20 @@
         self.size += len(data)
 
     def flush(self):
-        """Write what the stream accepts without blocking; report dropped lines."""
+        """Write what the stream accepts without blocking, then report dropped lines."""
         while self.lines and self.poll.poll(0):
-            self.write_some()
+            self.write_chunk()
         if self.dropped and not self.lines:
             dropped, self.dropped = self.dropped, 0
             self.on_drop(dropped)
 
-    def write_some(self):
+    def write_chunk(self):
         """Write up to `WRITE_BYTES` of the buffered lines."""
         chunk = bytearray()
         while self.lines and (not chunk or self.fits(chunk)):
             chunk += self.lines.popleft()
         self.size -= len(chunk)
-        written = write_at_once(self.fd, bytes(chunk[:WRITE_BYTES]))
+        written = write_nonblocking(self.fd, bytes(chunk[:WRITE_BYTES]))
         rest = bytes(chunk[written:])
         if rest:
             self.lines.appendleft(rest)
@@ -130,7 +130,7 @@
         """Whether the next line fits into the same write as `chunk`."""
         return len(chunk) + len(self.lines[0]) <= WRITE_BYTES
 
-    def keep_flushing(self):
+    def flush_forever(self):
         """Flush periodically until killed."""
         while True:
             gevent.sleep(FLUSH_SECONDS)
@@ -141,11 +141,11 @@
         until = lease_seconds() + seconds
         while self.lines and lease_seconds() < until:
             if self.poll.poll(CLOSE_POLL_MS):
-                self.write_some()
+                self.write_chunk()
         self.flush()
 
 
-def write_at_once(fd, data):
+def write_nonblocking(fd, data):
     """Write to a writable descriptor; return the number of bytes written.
 
     On an error, such as a closed pipe, the bytes count as written: they are
--- a/hingepitch/peerregistry.py
+++ b/hingepitch/peerregistry.py
@@ -113,7 +113,8 @@
         loop.
         """
         try:
-            # The announcer updates rows too; both would write the same file.
+            # `GroupReconciler.announce` also updates rows. Without the lock, both
+            # greenlets could write the same file.
             with self.lock:
                 run_in_thread(write_atomic, self.disk, self.path, encode(self.rows))
         except OSError as error:
--- a/hingepitch/rpc.py
+++ b/hingepitch/rpc.py
@@ -239,9 +239,9 @@
         if error.code == "unauthenticated":
             self.close()
         code = error.code if error.code in ERROR_BY_CODE else "internal"
-        made = HingepitchError(code, error.detail, error.retry_after_ms)
-        made.leader = error.leader
-        return made
+        translated = HingepitchError(code, error.detail, error.retry_after_ms)
+        translated.leader = error.leader
+        return translated
 
     def close(self):
         """Close the connection if it is open."""
--- a/hingepitch/supervisor.py
+++ b/hingepitch/supervisor.py
@@ -75,7 +75,7 @@
         self.greenlet_by_name[name] = gevent.spawn(self.run_child, child)
 
     def run_child(self, child):
-        """Run `child`, with restarts, until it returns or fails for good."""
+        """Run `child` and restart it until it returns or the process must stop."""
         while True:
             child.started = lease_seconds()
             try:
@@ -86,7 +86,7 @@
             except Exception as error:
                 if self.has_outlived_window(child):
                     child.failures = 0
-                self.note_failure(child, error)
+                self.record_failure(child, error)
             gevent.sleep(self.backoff_seconds(child))
 
     def has_outlived_window(self, child):
@@ -102,7 +102,7 @@
             if child.failures and not self.has_outlived_window(child)
         ]
 
-    def note_failure(self, child, error):
+    def record_failure(self, child, error):
         """Log a failure; stop the process if it is fatal or at `max_failures`."""
         child.failures += 1
         log_event(
--- a/soak/caller.py
+++ b/soak/caller.py
@@ -58,7 +58,7 @@
     `jobs`
         All jobs that were sent, in order.
     `unsure`
-        The job whose submission has no known outcome; None if there is none.
+        The job whose submission has an unknown outcome, or None.
     """
 
     def __init__(self, addresses, record, rng, pause_seconds=0.03):
@@ -140,8 +140,8 @@
             job.cancelled_at = time.monotonic()
         return is_acked
 
-    def finish(self, deadline):
-        """Query the accepted jobs until all have ended; check that they have.
+    def wait_for_jobs(self, deadline):
+        """Query the accepted jobs until all have ended; check that they did.
 
         `deadline`
             Time of the monotonic clock, in seconds.
--- a/soak/fault.py
+++ b/soak/fault.py
@@ -21,6 +21,8 @@
 #: Mean number of faults in a series. Configuration changes accumulate during the
 #: calm that follows, so that the next power loss has unsynced writes to tear.
 MEAN_SERIES_LENGTH = 4
+
+#: Range of the calm after a series, in seconds.
 CALM_SECONDS = (1.0, 5.0)
 
 #: Delay until the users' platform starts a process again.
@@ -28,6 +30,8 @@
 
 #: Time from a restart to another power loss during the recovery.
 RECOVERY_LOSS_SECONDS = (0.1, 0.6)
+
+#: Range of the time for which a process is suspended by SIGSTOP, in seconds.
 PAUSE_SECONDS = (0.2, 4.0)
 
 #: Longest time that a process may take to stop, its pauses not included.
@@ -40,6 +44,7 @@
 #: Longest wait for an acknowledged change before a fault that should follow one.
 ACK_SECONDS = 1.0
 
+#: Limit of the disks lost at once: the group of five keeps its quorum.
 MAX_LOST_DISKS = 2
 
 KINDS = ("kill", "pause", "stop", "hang_up", "lose_power", "lose_disks")
@@ -64,14 +69,14 @@
         self.writer = writer
         self.lost = set()
         self.scheduled_calls = []
-        self.numbers = itertools.count()
+        self.call_numbers = itertools.count()
         self.started_by_ip = dict.fromkeys(site.process_by_ip, time.monotonic())
 
     def call_later(self, seconds, function, *arguments):
         """Schedule the call of a function after a number of seconds."""
         at = time.monotonic() + seconds
         heapq.heappush(
-            self.scheduled_calls, (at, next(self.numbers), function, arguments)
+            self.scheduled_calls, (at, next(self.call_numbers), function, arguments)
         )
 
     def run(self, seconds):
@@ -82,7 +87,7 @@
             at, _, function, arguments = heapq.heappop(self.scheduled_calls)
             time.sleep(max(0, at - time.monotonic()))
             function(*arguments)
-        self.record.note("the last fault is over")
+        self.record.add_event("the last fault is over")
 
     def begin_next(self, end):
         """Begin a random fault and schedule the next one."""
@@ -92,7 +97,7 @@
         seconds = self.rng.expovariate(1 / MEAN_GAP_SECONDS)
         if self.rng.randrange(MEAN_SERIES_LENGTH) == 0:
             seconds += self.rng.uniform(*CALM_SECONDS)
-            self.record.note(f"calm, {self.writer.ack_count} changes acknowledged")
+            self.record.add_event(f"calm, {self.writer.ack_count} changes acknowledged")
         self.call_later(seconds, self.begin_next, end)
 
     def pick_process(self):
@@ -102,7 +107,7 @@
     def kill(self):
         """Kill one process."""
         ip = self.pick_process()
-        self.record.note(f"kill {ip}")
+        self.record.add_event(f"kill {ip}")
         self.site.kill(ip)
         self.restart_later([ip])
 
@@ -115,32 +120,32 @@
         """Start the processes that are down; call `function` with their addresses."""
         begun = [ip for ip in ips if not self.site.is_running(ip)]
         for ip in begun:
-            self.record.note(f"start {ip}")
+            self.record.add_event(f"start {ip}")
             self.site.restart(ip)
             self.started_by_ip[ip] = time.monotonic()
         if function and begun:
             function(begun)
 
     def pause(self):
-        """Pause one process and resume it later."""
+        """Suspend one process and resume it later."""
         ip = self.pick_process()
         if not self.site.is_running(ip):
             return
-        self.record.note(f"pause {ip}")
+        self.record.add_event(f"pause {ip}")
         self.site.process_by_ip[ip].signal(signal.SIGSTOP)
-        self.call_later(self.rng.uniform(*PAUSE_SECONDS), self.wake, ip)
+        self.call_later(self.rng.uniform(*PAUSE_SECONDS), self.resume, ip)
 
-    def wake(self, ip):
+    def resume(self, ip):
         """Resume a process, unless it was killed meanwhile."""
         if self.site.is_running(ip):
-            self.record.note(f"wake {ip}")
+            self.record.add_event(f"resume {ip}")
             self.site.process_by_ip[ip].signal(signal.SIGCONT)
 
     def stop(self):
         """Ask one process to stop and start it again after that."""
         ip = self.pick_process()
         if self.site.is_running(ip) and ip not in self.site.down:
-            self.record.note(f"stop {ip}")
+            self.record.add_event(f"stop {ip}")
             self.site.ask_to_stop(ip)
             longest = STOP_SECONDS + PAUSE_SECONDS[1]
             popen = self.site.process_by_ip[ip].popen
@@ -159,7 +164,7 @@
         """Make all processes reload their settings."""
         began = time.monotonic() - LOADING_SECONDS
         ips = [ip for ip, at in self.started_by_ip.items() if at < began]
-        self.record.note(f"reload the settings of {len(ips)} processes")
+        self.record.add_event(f"reload the settings of {len(ips)} processes")
         for ip in filter(self.site.is_running, ips):
             self.site.process_by_ip[ip].signal(signal.SIGHUP)
 
@@ -178,7 +183,7 @@
 
     def cut_power(self, ips):
         """Cut the power of control replicas now and perhaps during their recovery."""
-        self.record.note(f"power lost at {' '.join(ips)}")
+        self.record.add_event(f"power lost at {' '.join(ips)}")
         self.site.lose_power(self.rng, *ips)
         again = self.cut_power_soon if self.rng.random() < 0.5 else None
         self.restart_later(ips, again)
@@ -209,7 +214,7 @@
         self.lost = {members[ip] for ip in lost}
         self.await_ack()
         others = [ip for ip in self.site.control_ips if ip not in lost]
-        self.record.note(f"disks lost at {' '.join(lost)}")
+        self.record.add_event(f"disks lost at {' '.join(lost)}")
         self.site.kill(*lost, *(others if is_power_lost else []))
         self.site.lose_disk(*lost)
         if is_power_lost:
--- a/soak/operator.py
+++ b/soak/operator.py
@@ -19,13 +19,13 @@
 CALL_SECONDS = 2.0
 CONFIG_PATH = "/-/config"
 
-#: The queue that every configuration has.
+#: Path prefix of the queue that every configuration has.
 QUEUE = "/q/"
 
-#: Most routes of a large configuration, which make tens of kilobytes.
+#: Limit of the routes in a large configuration, which takes tens of kilobytes.
 MAX_ROUTES = 300
 
-#: Every change with a version divisible by this number is a large one.
+#: A configuration whose version is divisible by this number is a large one.
 LARGE_EVERY = 7
 
 
@@ -61,7 +61,7 @@
         return status == 200
 
     def queues(self):
-        """Return the path prefixes of the next version: one, or very many."""
+        """Return the path prefixes of the next version; a large one has many."""
         count = 1
         if self.sent % LARGE_EVERY == 0:
             count = min(MAX_ROUTES, 20 + self.sent) - self.rng.randrange(20)
--- a/soak/record.py
+++ b/soak/record.py
@@ -20,7 +20,7 @@
 CONTEXT_SECONDS = 1.0
 MAX_LOG_LINES = 40
 
-#: Breaches of one promise that are reported with details.
+#: Limit of the breaches of one promise that are reported with details.
 MAX_REPORTED = 5
 
 
@@ -49,7 +49,7 @@
         self.checks_by_promise = Counter()
         self.breaches = []
 
-    def note(self, what):
+    def add_event(self, what):
         """Record a fault or another event of the run."""
         with self.lock:
             self.timeline.append((time.monotonic() - self.began, what))
--- a/soak/run.py
+++ b/soak/run.py
@@ -25,11 +25,11 @@
 #: of the users' pages requires.
 RECOVERY_SECONDS = 12.0
 
-#: Longest time until all voters are back, and until all jobs have ended. Replicas
-#: that lost their disks are replaced one at a time.
+#: Longest time until all lost voters are replaced, and until all jobs have ended.
+#: Replicas that lost their disks are replaced one at a time.
 COMPLETE_SECONDS = 40.0
 
-CALLERS = 2
+CALLER_COUNT = 2
 
 
 class Run:
@@ -52,7 +52,7 @@
         self.reader = ConfigReader(controls, self.record, self.writer)
         self.callers = [
             Caller(entries, self.record, self.rng(f"caller {at}"))
-            for at in range(CALLERS)
+            for at in range(CALLER_COUNT)
         ]
         self.faults = Faults(self.site, self.record, self.rng("faults"), self.writer)
 
@@ -96,14 +96,16 @@
         ):
             is_served = holds_within(step, began + RECOVERY_SECONDS)
             seconds = time.monotonic() - began
-            self.record.note(f"{what} served again after {seconds:.3f} s: {is_served}")
+            self.record.add_event(
+                f"{what} served again after {seconds:.3f} s: {is_served}"
+            )
             detail = f"no {what} in {RECOVERY_SECONDS} s"
             self.record.check("served again after the last fault", is_served, detail)
         lost = self.faults.lost
         is_complete = holds_within(
             lambda: self.site.complete_group(lost), began + COMPLETE_SECONDS
         )
-        self.record.note(
+        self.record.add_event(
             f"complete after {time.monotonic() - began:.3f} s: {is_complete}"
         )
         detail = f"voters: {self.site.voters()}"
@@ -113,7 +115,7 @@
         """Check the jobs, tasks, processes and logs at the end of a run."""
         deadline = time.monotonic() + COMPLETE_SECONDS
         for caller in self.callers:
-            caller.finish(deadline)
+            caller.wait_for_jobs(deadline)
         jobs = [job for caller in self.callers for job in caller.jobs]
         check_tasks(self.record, self.site, jobs)
         check_processes(self.record, self.site)
--- a/tests/switch_program.py
+++ b/tests/switch_program.py
@@ -1,4 +1,4 @@
-"""Patched program that runs one scenario beside a busy greenlet.
+"""Program patched for gevent that runs one scenario beside a busy greenlet.
 
 Prints how often the scenario switched to another greenlet.
 
@@ -115,12 +115,14 @@
     return switches.count
 
 
-def take_connection():
-    """Take an idle connection and give it back."""
+def reuse_connection():
+    """Acquire an idle connection and release it."""
     ours, _ = socket.socketpair()
     connections = MinionConnections(("127.0.0.1", 1))
     connections.give_back(ours)
-    return count_switches_during(lambda: connections.give_back(connections.take()))
+    return count_switches_during(
+        lambda: connections.give_back(connections.acquire_connection())
+    )
 
 
 def update_metrics():
@@ -159,7 +161,7 @@
 READERS = {"quick": read_all, "slow": read_slowly, "full": None, "gone": None}
 
 SCENARIOS = {
-    "connection": take_connection,
+    "connection": reuse_connection,
     "metrics": update_metrics,
     "errors": fail_uncaught,
     **{reader: partial(log_with_reader, reader) for reader in READERS},
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Invalid input: settings, selectors, HTTP framing, log values, objects."""
+"""Test invalid input: settings, selectors, HTTP framing, log values, objects."""
 
 from io import BytesIO
 from pathlib import Path
@@ -73,7 +73,7 @@
         ("gone notin (x)", True),
     ],
 )
-def test_selectors(text, expected):
+def test_selector_matches_labels(text, expected):
     assert matches(text, LABELS) is expected
 
 
@@ -84,7 +84,7 @@
     assert caught.value.code == "bad_selector"
 
 
-def test_no_value_forges_a_log_line():
+def test_log_value_cannot_add_a_pair_or_line():
     line = format_pairs({"a": 'x\ny=1 "quoted" \\', "b": "plain"})
     assert "\n" not in line
     assert line == 'a="x\\ny=1 \\"quoted\\" \\\\" b=plain'
@@ -101,7 +101,7 @@
         ([], "kind:"),
     ],
 )
-def test_bad_objects_are_refused_with_the_path(document, line):
+def test_invalid_object_is_refused_with_the_path_of_the_field(document, line):
     with pytest.raises(HingepitchError) as caught:
         parse_object(document)
     assert caught.value.code == "bad_object"
--- a/tests/test_child_failures.py
+++ b/tests/test_child_failures.py
@@ -1,4 +1,4 @@
-"""Supervised children that fail repeatedly.
+"""Test supervised children that fail repeatedly.
 
 Guards against processes that exit because a child keeps failing. An unexpected
 error ended five control programs at their start, one after another, and with
@@ -59,7 +59,7 @@
     assert running.get(timeout=SECONDS) == ExitCode.SUCCESS
 
 
-def test_the_status_names_the_children_that_fail():
+def test_status_names_the_failing_children():
     program = Program(ValueError("x"))
     running = gevent.spawn(program.run)
     assert wait_until(lambda: program.runs > 2, SECONDS)
--- a/tests/test_daemons.py
+++ b/tests/test_daemons.py
@@ -1,4 +1,4 @@
-"""Running daemons: invalid callers, unauthenticated peers and operators."""
+"""Test running daemons: invalid callers, unauthenticated peers, operators."""
 
 import json
 import re
@@ -51,12 +51,12 @@
     assert "shared_key: Field required" in finished.stderr
 
 
-def test_unknown_service(cluster):
+def test_unknown_service_is_refused(cluster):
     status, body = problem(cluster.request("e1", "spoons", "r"))
     assert (status, body["code"], body["run"]) == (404, "unknown_service", "not_run")
 
 
-def test_body_over_the_limit_of_the_service(cluster):
+def test_body_over_the_limit_of_the_service_is_refused(cluster):
     body = b"x" * 1_000_001
     status, answer = problem(cluster.request("e1", "eligibility", "r", body))
     assert (status, answer["code"], answer["run"]) == (413, "body_too_large", "not_run")
@@ -66,7 +66,7 @@
     "headers",
     [{"Hingepitch-Deadline-Ms": "soon"}, {"Hingepitch-Priority": "royal"}],
 )
-def test_bad_caller_headers(cluster, headers):
+def test_invalid_caller_headers_are_refused(cluster, headers):
     result = cluster.request("e1", "eligibility", "r", **headers)
     status, answer = problem(result)
     assert (status, answer["code"], answer["run"]) == (400, "bad_request", "not_run")
@@ -90,7 +90,7 @@
         return received
 
 
-def test_header_of_a_megabyte(cluster):
+def test_header_of_a_megabyte_is_refused(cluster):
     data = b"GET /s/eligibility/x HTTP/1.1\r\nX: " + b"a" * 1_000_000
     answer = send_raw(cluster.http_by_name["e1"], data + b"\r\n\r\n")
     assert answer == b"" or answer.startswith(b"HTTP/1.1 431 ")
@@ -127,7 +127,7 @@
     "garbage",
     [b"\xff" * 64, b"\x7f\xff\xff\xff", b"GET / HTTP/1.1\r\n\r\n", b"\0\0\0\4\1\2\3\4"],
 )
-def test_garbage_on_the_internal_port(cluster, garbage):
+def test_garbage_on_the_internal_port_does_not_disturb_the_leader(cluster, garbage):
     leader = cluster.wait_leader()
     assert b"version" not in send_raw(cluster.rpc_by_name[leader], garbage)
     assert cluster.wait_leader() == leader
@@ -162,7 +162,7 @@
     assert cluster.process_by_name["c1"].is_running()
 
 
-def test_bad_object_is_refused_with_every_fault(cluster):
+def test_invalid_object_is_refused_with_every_error(cluster):
     with pytest.raises(HingepitchError) as caught:
         cluster.put("journeys", {"kind": "service", "name": "x", "port": 0, "a": 1})
     assert caught.value.code == "bad_object"
@@ -213,7 +213,7 @@
     )
 
 
-def test_log_lines_are_pairs(cluster):
+def test_log_lines_consist_of_key_value_pairs(cluster):
     for name in ("c1", "e1", "p1"):
         for line in cluster.process_by_name[name].log().splitlines():
             assert re.match(r"time=\S+ level=[A-Z]+ program=[a-z]+ event=[a-z_]+", line)
--- a/tests/test_disk_writers.py
+++ b/tests/test_disk_writers.py
@@ -22,7 +22,7 @@
 ALLOWED = {
     ("hingepitch/control/storage.py", "take_lock"),
     ("hingepitch/load/program.py", "run"),
-    ("hingepitch/logsink.py", "write_at_once"),
+    ("hingepitch/logsink.py", "write_nonblocking"),
 }
 
 WRITE_MODES = frozenset("wax+")
@@ -36,11 +36,11 @@
     """.split()
 )
 
-#: Names of these calls that the API of `hingepitch.disk` has as well.
+#: Calls that are allowed on the objects of `hingepitch.disk`, and these objects.
 DISK_API_CALLS = frozenset(("rename", "truncate"))
 DISK_API_OWNERS = ("self.disk", "disk", "file", "self.file", "self.segment")
 
-#: Calls that count only on these modules, as other objects have methods alike.
+#: Calls that count only on these modules; other objects have methods of these names.
 FILE_MODULES = ("os", "shutil")
 FILE_MODULE_CALLS = frozenset(
     "copy copy2 copyfile copytree link move open remove replace rmdir write".split()
--- a/tests/test_entry.py
+++ b/tests/test_entry.py
@@ -1,4 +1,4 @@
-"""Components of the entry: minion connections, balancer, queue, retry budget."""
+"""Test the entry: minion connections, balancer, slot queue, retry budget."""
 
 import gevent
 import pytest
@@ -17,7 +17,7 @@
 
 
 class FakeMinion:
-    """Server that answers each request by its next script and counts them.
+    """Server that plays one script for each request and records the requests.
 
     A script is a sequence of bytes to send, seconds to wait, or None, which
     closes the connection.
@@ -224,7 +224,7 @@
 def test_fast_failures_do_not_attract_traffic():
     failing, busy = MinionHealth(8.0), MinionHealth(8.0, in_flight=3)
     for _ in range(20):
-        failing.note_failure(0.0)
+        failing.record_failure(0.0)
     assert failing.cost() > busy.cost()
     assert failing.is_ejected(0.1)
 
@@ -232,11 +232,11 @@
 def test_ejected_minion_returns_with_slow_start():
     health = MinionHealth(8.0)
     for _ in range(3):
-        health.note_failure(0.0)
+        health.record_failure(0.0)
     assert health.is_ejected(0.4) and not health.is_ejected(0.6)
     assert health.limit == 1
     for _ in range(100):
-        health.note_success(8)
+        health.record_success(8)
     assert health.limit == 8
 
 
@@ -244,8 +244,8 @@
     budget = RetryBudget(share=0.1, burst=2)
     taken = 0
     for _ in range(100):
-        budget.note_request()
-        taken += budget.take()
+        budget.deposit()
+        taken += budget.try_withdraw()
     assert taken <= 12
 
 
--- a/tests/test_frame.py
+++ b/tests/test_frame.py
@@ -1,4 +1,4 @@
-"""Infrastructure of the daemons: supervisor, admission, group client, feeds."""
+"""Test what the daemons share: supervisor, admission, group client, state feeds."""
 
 import gevent
 import pytest
@@ -24,7 +24,7 @@
 
 
 class FailingChild:
-    """A child that fails `times` times, then succeeds."""
+    """Child that fails `times` times, then succeeds."""
 
     def __init__(self, times, error=ValueError):
         self.times = times
@@ -120,7 +120,7 @@
     "voters, alive, left",
     [(3, 3, 1), (3, 2, 0), (5, 5, 2), (5, 4, 1), (5, 2, 0), (7, 6, 2)],
 )
-def test_losses_left(voters, alive, left):
+def test_losses_left_keep_a_quorum(voters, alive, left):
     names = [f"c{number}" for number in range(voters)]
     assert losses_left(names, names[:alive]) == left
 
@@ -173,7 +173,7 @@
     assert copy.by_kind == state.by_kind
 
 
-def test_greenlets_are_not_left_behind():
+def test_stopped_supervisor_leaves_no_greenlet():
     supervisor = Supervisor(lambda broken: None)
     supervisor.start("child", gevent.sleep)
     supervisor.stop()
--- a/tests/test_log_tracing.py
+++ b/tests/test_log_tracing.py
@@ -1,4 +1,7 @@
-"""Test that log lines alone lead from a job id to the cause, as documented."""
+"""Test that log lines lead from a job id to the cause of a wait, failure or refusal.
+
+The documentation promises that no other source is needed.
+"""
 
 import re
 from datetime import datetime
--- a/tests/test_malformed_messages.py
+++ b/tests/test_malformed_messages.py
@@ -1,4 +1,4 @@
-"""Test malformed messages from other writers: they must not affect valid ones.
+"""Test that malformed messages of other programs do not affect valid ones.
 
 Guards against a leader that dispatches nothing for the rest of a day, fails all
 requests and does not restart expired long-running tasks. This happens if a heartbeat
@@ -30,7 +30,7 @@
 from tests.test_job_rules import JOB, make_minion, task
 from tests.test_platform import CONFIG, HEARTBEAT, ApiHarness
 
-#: Values that another writer may put in a field.
+#: Values that another program may send in a field.
 MALFORMED_VALUES = (None, True, -1, "x", [], {}, 1.5)
 
 RUNNING_ROW = [f"{JOB}.0.0.1", 2, "saved", 41, 7]
@@ -66,7 +66,7 @@
 
 
 @pytest.mark.parametrize("address", ["not an address", "", "10.0.0.1:none", "::1"])
-def test_a_minion_that_cannot_be_called_holds_nobody_up(rig, address):
+def test_minion_that_cannot_be_called_holds_up_no_other_minion(rig, address):
     uncallable_minion = make_minion(9, id="stranger", address=address)
     rig.log.send(commands.RegisterMinion(uncallable_minion, 0))
     rig.submit(Step(2))
@@ -168,27 +168,27 @@
 
 @pytest.mark.parametrize("at", range(4))
 @pytest.mark.parametrize("value", [None, True, [], {}])
-def test_unreadable_running_row_hides_no_other(at, value):
+def test_unreadable_running_row_does_not_hide_other_rows(at, value):
     malformed = [*RUNNING_ROW[:at], value, *RUNNING_ROW[at + 1 :]]
     body = {
         "clock_ms": 1,
         "running": [malformed, RUNNING_ROW, 5, RUNNING_ROW[:2]],
         "finished": [],
     }
-    look = poll_result_of(body)
-    assert look.running == (parse_running(RUNNING_ROW),)
-    assert look.unread_running == 3
+    result = poll_result_of(body)
+    assert result.running == (parse_running(RUNNING_ROW),)
+    assert result.unread_running == 3
 
 
 @pytest.mark.parametrize("at", range(5))
-def test_unreadable_ended_row_hides_no_other(at):
+def test_unreadable_ended_row_does_not_hide_other_rows(at):
     malformed = [*ENDED_ROW[:at], {}, *ENDED_ROW[at + 1 :]]
     unknown = [*ENDED_ROW[:3], "molten", ""]
-    look = poll_result_of(
+    result = poll_result_of(
         {"clock_ms": 1, "finished": [malformed, unknown, ENDED_ROW, None]}
     )
-    assert look.ended == (parse_ended(ENDED_ROW),)
-    assert (look.unread_ended, look.unread_running) == (3, 0)
+    assert result.ended == (parse_ended(ENDED_ROW),)
+    assert (result.unread_ended, result.unread_running) == (3, 0)
 
 
 @pytest.mark.parametrize(
@@ -209,14 +209,14 @@
 
 
 class UnreadableRowsMinion(MemoryMinion):
-    """Minion that lists its runs in unreadable rows."""
+    """Minion whose status polls list its runs in unreadable rows only."""
 
     def look(self, order, seconds):
-        look = super().look(order, seconds)
-        return replace(look, running=(), unread_running=len(look.running))
+        result = super().look(order, seconds)
+        return replace(result, running=(), unread_running=len(result.running))
 
 
-def test_run_that_an_unreadable_row_may_hide_goes_on():
+def test_run_that_an_unreadable_row_may_hide_is_not_restarted():
     minion = UnreadableRowsMinion(task_seconds=0.8)
     rig = Rig(minion, connect=lambda record: minion)
     try:
@@ -249,7 +249,7 @@
     ],
     ids=str,
 )
-def test_malformed_vm_entry_hides_no_other(entry):
+def test_malformed_vm_entry_does_not_hide_other_entries(entry):
     second = {**VM_ENTRY, "machine": "m-2"}
     listed = list_vms_of(
         {"machines": [entry, VM_ENTRY], "next_token": "t"}, {"machines": [second]}
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -1,4 +1,7 @@
-"""Connections that stay unresponsive while new ones work."""
+"""Test pooled connections that become unresponsive while new ones work.
+
+Guards against status polls that time out on every pooled connection in turn.
+"""
 
 import pytest
 
--- a/tests/test_site.py
+++ b/tests/test_site.py
@@ -118,7 +118,7 @@
             site.process_by_ip[ip].kill()
     for ip in site.control_ips:
         site.restart(ip)
-    wait_for(lambda: site.state(CRASHING_JOB) == "failed", 40, "the job given up")
+    wait_for(lambda: site.state(CRASHING_JOB) == "failed", 40, "the failure of the job")
     assert site.starts_of(crashing_task) <= MAX_STARTS
     wait_until_succeeded(site, JOBS[:10])
 
--- a/tests/test_site_ends.py
+++ b/tests/test_site_ends.py
@@ -1,9 +1,9 @@
 """Test that real programs survive faults that recur at every start.
 
-In an incident, programs were restarted and ended at the same line each time. These
-tests cause other persistent faults: a program of an earlier version in the group,
-and addresses and a data folder that are still in use. The program must wait, or run
-without the missing part.
+In an incident, restarted programs ended at the same line each time. These tests cause
+other faults that last: a program of an earlier version in the group, and addresses or
+a data folder that are still in use. The program must wait, or run without the part
+that is missing.
 """
 
 import json
@@ -125,8 +125,8 @@
         process.start()
         wait_for(lambda: refusals(process) == 2, what="both refusals")
         # With two others killed, the quorum needs this replica's vote.
-        for gone in site.control_ips[3:]:
-            site.process_by_ip[gone].kill()
+        for killed in site.control_ips[3:]:
+            site.process_by_ip[killed].kill()
         assert site.submit(JOBS[0], 2) == 200
         wait_until_succeeded(site, JOBS[:1])
         assert process.is_running()
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -1,8 +1,9 @@
-"""Leases on a suspended machine.
+"""Test leases on a suspended machine.
 
 The monotonic clock and the timers of the event loop stop during a suspension.
-Guards against a lease that seems valid after it: leases are measured on a clock
-that counts the suspension, so they must be confirmed again after resuming.
+Guards against a lease that expired during the suspension and seems valid after it.
+Leases are therefore measured on a clock that counts the suspension, and must be
+confirmed again after resuming.
 """
 
 import re
@@ -64,15 +65,15 @@
 
 def test_a_resumed_leader_sends_no_order_before_it_is_confirmed(rig, suspend):
     minion = TaskMinion()
-    here = rig(minion)
-    assert wait_until(lambda: here.dispatcher.session is not None, SECONDS)
-    session = here.dispatcher.session
+    harness = rig(minion)
+    assert wait_until(lambda: harness.dispatcher.session is not None, SECONDS)
+    session = harness.dispatcher.session
     assert wait_until(session.may_order, SECONDS)
-    here.replica.confirm = lambda: gevent.sleep(60)
-    here.replica.is_leader = True
+    harness.replica.confirm = lambda: gevent.sleep(60)
+    harness.replica.is_leader = True
     suspend(5.0)
     assert not session.may_order()
-    here.submit(Step(1))
+    harness.submit(Step(1))
     gevent.sleep(0.5)
     assert not minion.starts
 
@@ -81,25 +82,25 @@
     rig, suspend
 ):
     first, second = TaskMinion(), TaskMinion()
-    here = rig(first)
-    here.submit(Step(1, lasts=True))
+    harness = rig(first)
+    harness.submit(Step(1, lasts=True))
     assert wait_until(lambda: first.running, SECONDS)
     first.faults.looks += ["dropped"] * 50
-    agent = here.dispatcher.session.agent_by_minion[first.life]
+    agent = harness.dispatcher.session.agent_by_minion[first.life]
     assert wait_until(lambda: agent.is_unresponsive, SECONDS)
-    here.minions = (first, second)
-    here.register(1, second)
+    harness.minions = (first, second)
+    harness.register(1, second)
     suspend(10.0)
     assert agent.lease_expired_at < clock.lease_seconds()
     assert wait_until(lambda: second.running, SECONDS)
 
 
 def test_a_read_after_resuming_is_confirmed_again(rig, suspend):
-    here = rig(TaskMinion())
-    service = JobService(here.replica, here.roster, None, "test")
+    harness = rig(TaskMinion())
+    service = JobService(harness.replica, harness.roster, None, "test")
     question = AskPending(HOST, "/q/")
     assert service.answer(question) == 0
-    here.replica.is_leader = False
+    harness.replica.is_leader = False
     suspend(5.0)
     with pytest.raises(HingepitchError):
         service.answer(question)
--- a/tests/test_switches.py
+++ b/tests/test_switches.py
@@ -1,6 +1,6 @@
 """Test that logging, metrics and pooled connections switch to no other greenlet.
 
-Code that must run without interruption calls them.
+They are called by code that must run without interruption.
 """
 
 import subprocess
--- a/tests/test_unreadable_answers.py
+++ b/tests/test_unreadable_answers.py
@@ -40,9 +40,9 @@
 
 
 def test_valid_view_is_accepted(monkeypatch):
-    taken = fetch_view(monkeypatch, VM_ROWS, TASK_ROWS)
-    assert list(taken.vm_by_name) == ["vm"]
-    assert list(taken.task_by_name) == ["j/1"]
+    fetched = fetch_view(monkeypatch, VM_ROWS, TASK_ROWS)
+    assert list(fetched.vm_by_name) == ["vm"]
+    assert list(fetched.task_by_name) == ["j/1"]
 
 
 @pytest.mark.parametrize(
@@ -97,12 +97,12 @@
     assert caught.value.code == "bad_settings"
 
 
-class PeerBookStub:
+class PeerRegistryStub:
     seeds = ()
 
 
 class ReloadingProgram(reload.SettingsReloadMixin):
-    book = PeerBookStub()
+    book = PeerRegistryStub()
 
 
 VALID_SETTINGS = """
