--- a/hingepitch/control/consensus.py
+++ b/hingepitch/control/consensus.py
@@ -555,7 +555,7 @@
 
     def append(self, entries, is_async=False):
         """Append entries to the log, in memory and on disk."""
-        self.membership.truncate(entries[0].index)
+        self.membership.discard_from(entries[0].index)
         self.log.append(entries)
         for entry in entries:
             self.apply_member_entry(entry)
--- a/hingepitch/control/membership.py
+++ b/hingepitch/control/membership.py
@@ -72,7 +72,7 @@
         """Add the configuration of the entry at `index`."""
         self.configurations.append((index, members))
 
-    def truncate(self, first):
+    def discard_from(self, first):
         """Drop the configurations of the entries from `first` on."""
         while self.changed_index >= first and len(self.configurations) > 1:
             self.configurations.pop()
--- a/hingepitch/control/program.py
+++ b/hingepitch/control/program.py
@@ -126,11 +126,11 @@
         self.supervisor.start("replica", self.replica.run)
         self.supervisor.start("log writer", self.replica.write_in_background)
         self.supervisor.start("ticks", self.replica.tick)
-        self.supervisor.start("book", self.refresh_address_book)
+        self.supervisor.start("book", self.refresh_peer_registry)
         self.supervisor.start("announcer", self.reconciler.announce)
         self.supervisor.start("keeper", self.reconciler.run)
 
-    def refresh_address_book(self):
+    def refresh_peer_registry(self):
         """Keep the replicas' addresses up to date if members change automatically."""
         if self.settings.voters:
             self.book.refresh_forever(self.reconciler.group, self.group)
--- a/hingepitch/exchange.py
+++ b/hingepitch/exchange.py
@@ -168,12 +168,12 @@
         The failure is NOT_RUN only if no byte was sent.
         """
         try:
-            sock = self.take()
+            sock = self.acquire_connection()
         except OSError as error:
             return Failure("minion_failed", Execution.NOT_RUN, f"connect: {error}")
         seconds = request.deadline - lease_seconds()
         if seconds <= 0:
-            self.give_back(sock)
+            self.release_connection(sock)
             return Failure("deadline_passed", Execution.NOT_RUN)
         try:
             with gevent.Timeout(seconds):
@@ -190,8 +190,8 @@
             sock.close()
             raise
 
-    def take(self):
-        """Return an idle connection with no unread bytes, or a new one."""
+    def acquire_connection(self):
+        """Return an idle connection without unread bytes, or open a new one."""
         horizon = lease_seconds() - MAX_IDLE_SECONDS
         while self.idle:
             since, sock = self.idle.pop()
@@ -206,7 +206,7 @@
         sock.settimeout(None)
         return sock
 
-    def give_back(self, sock):
+    def release_connection(self, sock):
         """Keep a connection for reuse, or close it if enough are idle."""
         if len(self.idle) >= MAX_IDLE:
             sock.close()
@@ -231,7 +231,7 @@
         if parser.has_trailing_bytes or parser.should_close():
             sock.close()
         else:
-            self.give_back(sock)
+            self.release_connection(sock)
         return parser.first_answer
 
     def read_head(self, sock):
--- a/standin/faults.py
+++ b/standin/faults.py
@@ -102,7 +102,7 @@
             (
                 "exchange.py",
                 "        except gevent.Timeout:\n            sock.close()",
-                "        except gevent.Timeout:\n            self.give_back(sock)",
+                "        except gevent.Timeout:\n            self.release_connection(sock)",
             ),
             (
                 "exchange.py",
