--- a/hingepitch/admin/client.py
+++ b/hingepitch/admin/client.py
@@ -20,11 +20,12 @@
 
 __all__ = ["AdminClient", "AdminSettings"]
 
-#: Timeout of a call to one replica: a frozen one delays an operator by this time.
+#: Timeout of a call to one replica, in seconds: a replica that hangs delays the
+#: operator by this time.
 TIMEOUT_SECONDS = 6.0
 PAUSE_SECONDS = 0.2
-WAIT_SECONDS = 3.0
-GIVE_UP_SECONDS = 30.0
+LONG_POLL_SECONDS = 3.0
+MAX_RETRY_SECONDS = 30.0
 
 #: Codes after which the client tries the next replica, with the same command id.
 TRANSIENT_CODES = group.TRANSIENT_CODES | {"queue_full"}
@@ -67,10 +68,10 @@
     def call(self, method, path, body=None):
         """Return the answer of the first replica that can give one.
 
-        Tries the replicas in turn for up to `GIVE_UP_SECONDS`. A command may be
+        Tries the replicas in turn for up to `MAX_RETRY_SECONDS`. A command may be
         sent several times; its id ensures that it is applied once.
         """
-        deadline = lease_seconds() + GIVE_UP_SECONDS
+        deadline = lease_seconds() + MAX_RETRY_SECONDS
         while True:
             addresses = self.settings.control
             address = addresses[self.preferred % len(addresses)]
@@ -91,7 +92,7 @@
         """Wait until `version` is in force everywhere; return whether it is."""
         deadline = lease_seconds() + seconds
         while (left := deadline - lease_seconds()) > 0:
-            wait_ms = int(min(left, WAIT_SECONDS) * 1000)
+            wait_ms = int(min(left, LONG_POLL_SECONDS) * 1000)
             path = f"/v1/in-force/{version}?wait_ms={wait_ms}"
             if self.call("GET", path)["in_force"]:
                 return True
--- a/hingepitch/admin/trail.py
+++ b/hingepitch/admin/trail.py
@@ -24,8 +24,8 @@
 def merge_trails(trails):
     """Return the rows of all trails without duplicates, sorted by log index.
 
-    A replica that lacks records answers a row with `missing_after` for them. The
-    result has such a row only for log indices that every replica lacks.
+    A replica that lacks records returns a row with `missing_after` for them. The
+    result has such a row only for log indices whose records every replica lacks.
 
     `trails`
         Lists of rows, one for each replica that answered.
--- a/hingepitch/control/admission.py
+++ b/hingepitch/control/admission.py
@@ -28,10 +28,10 @@
 
 
 class Admission:
-    """Queues of waiting commands, one lane for each partner or role.
+    """Queues of waiting commands, one queue (lane) for each partner or role.
 
     A full lane refuses commands at once. Lanes are served round-robin, so that
-    neither partner can starve the other.
+    no partner can starve another.
     """
 
     def __init__(self, max_waiting=MAX_WAITING_IN_LANE):
@@ -69,7 +69,7 @@
         return taken
 
     def rotate_lanes(self):
-        """Move the first lane to the end, so that another one is served first."""
+        """Move the first lane to the end, so that another is served first next time."""
         if self.lane_by_name:
             first = next(iter(self.lane_by_name))
             self.lane_by_name[first] = self.lane_by_name.pop(first)
--- a/hingepitch/control/audit.py
+++ b/hingepitch/control/audit.py
@@ -149,7 +149,7 @@
         self.file.truncate(at)
 
     def record_loss(self, lost_bytes):
-        """Add a record that stands for synced records that are missing."""
+        """Remove an incomplete last line; add a record for the lost synced records."""
         log_event("audit_incomplete", file=self.path.name, lost_bytes=lost_bytes)
         self.file.truncate(self.path.read_bytes().rfind(b"\n") + 1)
         readable = filter(None, map(decode_line, self.all_lines()))
@@ -307,5 +307,5 @@
 
 
 def file_number(path):
-    """Return the number in the name of an audit file."""
+    """Return the sequence number in the name of an audit file."""
     return int(path.stem.removeprefix("audit-"))
--- a/hingepitch/control/bootstrap.py
+++ b/hingepitch/control/bootstrap.py
@@ -18,13 +18,13 @@
 BOOTSTRAP_RETRY_SECONDS = 1.0
 
 
-def bootstrap_when_possible(founding, stopping):
+def bootstrap_when_possible(arguments, stopping):
     """Create the data folder of an initial member, retrying until that succeeds.
 
-    Exiting on a disk error would lose the bootstrap: the next start is no
-    longer the first one, so the replica would join as a new replica.
+    Exiting on a disk error would lose the bootstrap: only the first start of a
+    replica bootstraps, so after the next one it would join as a new replica.
 
-    `founding`
+    `arguments`
         The arguments of `bootstrap_folder`.
     `stopping`
         Event that ends the retries.
@@ -33,7 +33,7 @@
     """
     while True:
         try:
-            bootstrap_folder(*founding)
+            bootstrap_folder(*arguments)
             return
         except HingepitchError:
             return  # An earlier start has already bootstrapped the folder.
--- a/hingepitch/control/consensus.py
+++ b/hingepitch/control/consensus.py
@@ -51,17 +51,18 @@
 #: Bounds of the election timeout, in ticks; each timeout is drawn at random.
 ELECTION_TICKS = (6, 12)
 
-#: The same for a replica that has heard no leader since its start: after all
-#: replicas restarted there is no leader, and each tick of waiting prolongs the
-#: outage. The pre-vote keeps it from disturbing a group that has a leader.
+#: Bounds of the election timeout, in ticks, of a replica that has heard from no
+#: leader since its start. They are lower because after a restart of all replicas
+#: there is no leader, and each tick of waiting prolongs the outage. The pre-vote
+#: keeps the replica from disturbing a group that has a leader.
 FIRST_ELECTION_TICKS = (2, 5)
 
 #: Ticks between two heartbeat rounds of a leader.
 HEARTBEAT_TICKS = 2
 
 #: Election timeouts without a leader after which a replica that may not serve
-#: stands for election too. By then the replicas that may serve have tried and
-#: failed, because they lack entries that it has.
+#: stands for election too. By then the replicas that may serve have failed to win
+#: an election, because they lack entries that this replica has.
 CARETAKER_ELECTIONS = 3
 
 #: Ticks between two leadership transfers of a caretaker leader; an election
@@ -91,12 +92,12 @@
     `active`
         Whether the follower has answered since the last quorum check.
     `sequence`
-        The latest round that the follower has answered.
+        The latest read round that the follower has answered.
     `snapshot_ticks`
         Ticks left in which no further snapshot is sent, as one is in transit.
     `is_snapshot_lost`
         The last snapshot is known not to have arrived. Another one is sent
-        once the follower answers a round.
+        once the follower answers a heartbeat.
     `probe_index`
         After a rejection, the lowest index tried since; no entries are sent
         until a probe is accepted. None: the follower's log is known to match.
@@ -146,6 +147,13 @@
     `elapsed_ticks`
         Ticks since the election timer was last reset; on a leader, since the
         last quorum check.
+    `sequence`
+        Number of the latest read round. Each APPEND message carries it and the
+        answer returns it, so that a quorum of answers proves that this replica
+        still led when the round began.
+    `reads`
+        The reads that wait for their round, as tuples of the round, the token and
+        the commit index when the round began.
     """
 
     def __init__(self, recovered, seed):
@@ -484,7 +492,7 @@
         self.append_as_leader((entry,))
 
     def refuse_reads(self):
-        """Refuse the reads that wait for a quorum to confirm their round."""
+        """Refuse the reads that still wait for a quorum to confirm their round."""
         for _, token, _ in self.reads:
             self.emit(Refuse(token, "not_leader"))
         self.reads = []
@@ -492,7 +500,7 @@
     # Leader.
 
     def tick_leader(self):
-        """Send a round when due; step down when no quorum responds."""
+        """Send heartbeats when due; step down when no quorum responds."""
         for progress in self.progress_by_identity.values():
             progress.snapshot_ticks = max(0, progress.snapshot_ticks - 1)
             progress.probe_ticks = max(0, progress.probe_ticks - 1)
@@ -632,10 +640,11 @@
     def send_snapshot(self, identity, progress):
         """Ask the driver to send a snapshot, unless one is in transit.
 
-        While one is, the receiver gets heartbeats, which it rejects: it keeps
-        hearing the leader, and its answers count in the quorum check. Without
-        them, a leader that needs the receiver for its quorum steps down after
-        `ELECTION_TICKS`, and the next leader sends the complete state again.
+        While a snapshot is in transit, the receiver gets heartbeats, which it
+        rejects. They tell it that the leader is alive, and its answers count in the
+        quorum check. Without them, a leader that needs the receiver for its quorum
+        steps down after `ELECTION_TICKS`, and the next leader sends the complete
+        state again.
         """
         if progress.snapshot_ticks:
             self.send_round(identity, self.log.start_index, self.log.start_term)
@@ -656,7 +665,7 @@
         )
 
     def on_append_answer(self, message):
-        """Record which entries a follower has, and send it the rest."""
+        """Record which entries a follower has, and send it the missing ones."""
         progress = self.progress_by_identity.get(message.sender)
         if self.role != LEADER or message.term != self.term or progress is None:
             return
@@ -684,8 +693,8 @@
     def probe_lower(self, progress, message):
         """Set the probe index after a rejection; return whether to probe again.
 
-        A message that was in transit before the last probe is also rejected,
-        and tells nothing new.
+        The follower also rejects messages that were in transit before the last
+        probe; their rejections give no new information and are ignored.
         """
         retry = min(message.index, self.log.last_index)
         known = progress.probe_index
@@ -719,7 +728,7 @@
     def step_down_if_removed(self):
         """Step down once the removal of this replica is committed.
 
-        A last broadcast tells the followers that it is.
+        A last broadcast tells the followers that the removal is committed.
         """
         is_committed = self.membership.changed_index <= self.commit_index
         if is_committed and self.identity not in self.voters:
@@ -767,7 +776,7 @@
         self.answer_append(message, granted=True, index=last_new)
 
     def retry_index(self, message):
-        """Return the index that the leader should try next after a rejection."""
+        """Return the log index that the leader should try next after a rejection."""
         below = min(message.index - 1, self.log.last_index)
         return max(below, self.commit_index)
 
@@ -793,7 +802,7 @@
         self.elapsed_ticks = 0
 
     def answer_append(self, message, granted, index):
-        """Answer an APPEND or SNAPSHOT message."""
+        """Send the answer to an APPEND or SNAPSHOT message."""
         self.send(
             MessageKind.APPEND_ANSWER,
             message.sender,
--- a/hingepitch/control/handler.py
+++ b/hingepitch/control/handler.py
@@ -23,7 +23,8 @@
 MAX_WAIT_SECONDS = 30.0
 DEADLINE_GRACE_SECONDS = 1.0
 
-#: Interval of the checks for expired leases, which no report announces.
+#: Interval at which `is_in_force` checks for expired leases, in seconds: the expiry
+#: of a lease triggers no event.
 IN_FORCE_POLL_SECONDS = 0.1
 
 
@@ -61,7 +62,7 @@
         return self.call_or_redirect(self.replica.confirm)
 
     def is_drained(self, vm):
-        """Whether a leaving VM gets no new requests and has none in flight."""
+        """Whether a VM with a permit gets no new requests and has none in flight."""
         self.call_or_redirect(self.replica.confirm)
         permit = self.replica.state.get("permit", vm)
         if permit is None:
@@ -75,9 +76,9 @@
         )
 
     def is_in_force(self, version, wait_ms):
-        """Whether no entry works by a state older than `version`.
+        """Whether no entry uses a state older than `version` any more.
 
-        Waits up to `wait_ms` for this. The routing feed holds only the changes
+        Waits up to `wait_ms` for that. The routing feed holds only the changes
         that entries need; any other change is in force once it is committed.
         """
         deadline = lease_seconds() + min(wait_ms / 1000, MAX_WAIT_SECONDS)
--- a/hingepitch/control/healing.py
+++ b/hingepitch/control/healing.py
@@ -24,15 +24,15 @@
 __all__ = ["GroupReconciler", "GroupView", "next_members"]
 
 #: How long the announcement of a new replica is valid, in seconds.
-APPLICANT_SECONDS = 3.0
+ANNOUNCEMENT_VALID_SECONDS = 3.0
 
 #: How long a voter must have been unresponsive before it may be replaced, in
-#: seconds: longer than a restart (1 to 2 s) and most network partitions (5 s),
-#: so that a brief outage does not change the members.
+#: seconds. A restart takes 1 to 2 s and most network partitions end within 5 s; such
+#: a brief outage must not change the members.
 UNRESPONSIVE_SECONDS = 8.0
 
 #: Seconds between two membership checks, and between two announcements.
-STEP_SECONDS = 0.1
+CHECK_SECONDS = 0.1
 ANNOUNCE_SECONDS = 0.4
 
 
@@ -78,7 +78,9 @@
 
 def without_lost_disk(view):
     """Return the members without one that has lost its disk, or None."""
-    identity_by_address = {one.address: one.identity for one in view.applicants}
+    identity_by_address = {
+        applicant.address: applicant.identity for applicant in view.applicants
+    }
     for member in view.members:
         announced = identity_by_address.get(member.address, member.identity)
         if announced != member.identity and member.identity != view.leader:
@@ -103,7 +105,8 @@
     for member in ready_learners(view):
         promoted = replace(member, voter=True)
         return tuple(
-            promoted if one.identity == member.identity else one for one in view.members
+            promoted if other.identity == member.identity else other
+            for other in view.members
         )
     return None
 
@@ -129,13 +132,13 @@
             yield member
 
 
-def without_member(members, gone):
-    """Return `members` without the member `gone`."""
-    return tuple(one for one in members if one.identity != gone.identity)
+def without_member(members, removed):
+    """Return `members` without the member `removed`."""
+    return tuple(member for member in members if member.identity != removed.identity)
 
 
 class GroupReconciler:
-    """Announces this replica to the leader; when leading, reconciles the members.
+    """Announces this replica to the leader; as the leader, changes the members.
 
     `replica`
         The replica of this process.
@@ -145,7 +148,7 @@
         Client for calls to the leader.
     `self_member`
         This replica as a learner. Its identity is not used: `announce` reads it
-        from the replica, which learns it when its data folder is opened.
+        from the replica, which reads it when it opens its data folder.
     `voters_wanted`
         How many voters the group should have; 0 disables automatic changes.
     """
@@ -173,9 +176,9 @@
                 self.announce_once(core.identity)
 
     def announce_once(self, identity):
-        """Announce this replica to the leader and learn the members from it.
+        """Announce this replica to the leader and store the members that it returns.
 
-        A failed call is logged.
+        A failed call is only logged.
         """
         member = self.self_member
         request = JoinGroup(identity, member.name, member.address, member.hall)
@@ -213,7 +216,7 @@
     def run(self):
         """Reconcile the members while this replica leads, until killed."""
         while True:
-            gevent.sleep(STEP_SECONDS)
+            gevent.sleep(CHECK_SECONDS)
             if not self.voters_wanted or not self.replica.is_leader:
                 self.leader_since = 0.0
                 self.applicant_by_identity.clear()
@@ -237,8 +240,8 @@
     def record_responses(self, now):
         """Record when each member last responded.
 
-        A new leader starts without records: `leader_since` counts for members
-        that have not responded yet.
+        A new leader starts without records. A member that has not responded yet
+        counts as last seen at `leader_since`.
         """
         if not self.leader_since:
             self.leader_since = now
@@ -253,19 +256,25 @@
         fresh = {
             identity: entry
             for identity, entry in self.applicant_by_identity.items()
-            if now - entry[1] < APPLICANT_SECONDS
+            if now - entry[1] < ANNOUNCEMENT_VALID_SECONDS
         }
         self.applicant_by_identity = fresh
-        others = [one.identity for one in core.members if one.identity != core.identity]
+        others = [
+            member.identity
+            for member in core.members
+            if member.identity != core.identity
+        ]
         return GroupView(
             members=core.members,
             leader=core.identity,
             applicants=tuple(applicant for applicant, _ in fresh.values()),
-            caught_up=frozenset(one for one in others if core.has_caught_up(one)),
+            caught_up=frozenset(
+                identity for identity in others if core.has_caught_up(identity)
+            ),
             not_responding=frozenset(
-                one
-                for one in others
-                if now - self.last_response_by_identity.get(one, self.leader_since)
+                identity
+                for identity in others
+                if now - self.last_response_by_identity.get(identity, self.leader_since)
                 > UNRESPONSIVE_SECONDS
             ),
             voters_wanted=self.voters_wanted,
--- a/hingepitch/control/membership.py
+++ b/hingepitch/control/membership.py
@@ -2,7 +2,7 @@
 hingepitch.control.membership
 ~~~~~~~~~~~~~~~~~~~~~~~~~~~~~
 
-The members of the group, by the log entries that set them.
+The members of the group, as the entries of the log set them.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
--- a/hingepitch/control/memlog.py
+++ b/hingepitch/control/memlog.py
@@ -34,7 +34,7 @@
         return self.entries[-1].term if self.entries else self.start_term
 
     def term_at(self, index):
-        """Return the term of the entry at `index`, or None if it is not held."""
+        """Return the term of the entry at `index`, or None if the log lacks it."""
         if index == self.start_index:
             return self.start_term
         if self.start_index < index <= self.last_index:
--- a/hingepitch/control/message.py
+++ b/hingepitch/control/message.py
@@ -107,7 +107,7 @@
         Answers: whether the request was accepted. Vote requests: whether the
         leader asked the sender to campaign.
     `sequence`
-        APPEND and its answer: number of the round, which confirms reads.
+        APPEND and its answer: number of the leader's latest read round.
     """
 
     kind: MessageKind
@@ -192,7 +192,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MayLead:
-    """Whether this replica may lead; it may not while it cannot apply the log."""
+    """Whether this replica may lead, which requires that it can apply the log."""
 
     is_allowed: bool
 
@@ -228,7 +228,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Install:
-    """Replace the state by a snapshot; `members` are those as of `index`."""
+    """Replace the state by a snapshot; `members` are the members at `index`."""
 
     index: int
     term: int
@@ -245,7 +245,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendSnapshot:
-    """Send a snapshot to a follower whose missing entries left the log."""
+    """Send a snapshot to a follower that lacks entries which were compacted."""
 
     receiver: str
     term: int
--- a/hingepitch/control/operator.py
+++ b/hingepitch/control/operator.py
@@ -39,8 +39,8 @@
     `id`
         Idempotency key: a command sent again with the same id takes effect once.
     `put`, `delete`, `cancel`
-        Exactly one of them: an object with its kind; kind and name of an object;
-        names of jobs.
+        The change; exactly one must be given. `put`: an object with its kind;
+        `delete`: kind and name of an object; `cancel`: names of jobs.
     `base_version`
         Version of the object on which the change is based; -1 for any version.
     """
@@ -138,7 +138,7 @@
         return api
 
     def confirm_state(self):
-        """Return the state after a confirmed read, at least as new as the leader's."""
+        """Return the state once it has every change acknowledged before the call."""
         try:
             self.replica.confirm()
         except HingepitchError as error:
--- a/hingepitch/control/peer.py
+++ b/hingepitch/control/peer.py
@@ -56,7 +56,7 @@
 
 
 def from_wire(wire):
-    """Return the valid `Message` of a thrift form; raise `bad_request`.
+    """Return the `Message` of a thrift form; raise `bad_request` if it is invalid.
 
     Anything that would raise in the core is rejected here, because there it
     would end the replica's event loop each time the sender repeats it.
@@ -195,8 +195,8 @@
     def deliver(self, link, batch):
         """Deliver one batch; on failure drop it and the whole queue, and pause.
 
-        A message of the batch is reported as undelivered only if the error
-        proves it; queued messages always are.
+        The messages of the batch are reported as undelivered only if the error
+        proves that; those that were still queued always are.
         """
         try:
             link.client.call("deliver", [to_wire(message) for message in batch])
--- a/hingepitch/control/program.py
+++ b/hingepitch/control/program.py
@@ -117,8 +117,8 @@
     def start(self):
         """Start the servers, recover the state, and start the child greenlets.
 
-        The servers start first, so that a replica that still waits for its data
-        folder refuses calls and its clients go on to another replica.
+        The servers start first: while the replica still waits for its data folder,
+        it refuses calls, so that clients try another replica.
         """
         self.listen("rpc", self.rpc)
         self.listen("http", self.http)
@@ -220,7 +220,7 @@
 
 
 def init_data_folder(settings_path):
-    """Create the data folder of a founding member; return the exit code."""
+    """Create the data folder of an initial member; return the exit code."""
     try:
         settings = load_settings(ControlSettings, settings_path)
         members = tuple(
@@ -241,7 +241,7 @@
 
     :param settings: the settings file (YAML)
     :param check: only check the settings, then exit
-    :param init: create the data folder of a founding member, then exit; only
+    :param init: create the data folder of an initial member, then exit; only
         to bootstrap a new group, never to replace a lost disk
     """
     if init:
--- a/hingepitch/control/replica.py
+++ b/hingepitch/control/replica.py
@@ -115,8 +115,9 @@
     `seed`
         Seed of the random election timeouts.
     `unread`
-        Which entry or snapshot cannot be read, and why; empty if all can be.
-        Later entries are stored but not applied, so `state` must not be used.
+        Which entry or snapshot cannot be read, and why; empty if there is none.
+        While it is set, entries are stored but not applied, and `state` must not
+        be used.
     """
 
     def __init__(self, storage, audit, links, roster, address_of, seed):
@@ -128,7 +129,8 @@
         self.roster = roster
         self.address_of = address_of
         self.seed = seed
-        # Placeholder that belongs to no group, so it neither votes nor leads.
+        # Placeholder until `open`: it belongs to no group, so it neither votes nor
+        # leads.
         self.core = Consensus(Recovered(identity=""), seed)
         self.state = State()
         self.applied_index = 0
@@ -160,9 +162,8 @@
         """Open the data folder, retrying until that succeeds.
 
         A failure does not end the program: the next start would fail in the
-        same way, and until then no operator could query the reason. The
-        exception is a folder that stays locked by another process, as the
-        replica was then started twice.
+        same way, and operators could not query the reason. Only a folder that
+        stays locked by another process ends it: the replica was started twice.
 
         `stopping`
             Event that ends the retries.
@@ -193,7 +194,7 @@
         self.audit = self.audit.unopened_copy()
 
     def load_snapshot(self, snapshot):
-        """Load the state of `snapshot`; an unreadable one stays on the disk."""
+        """Load the state of `snapshot`; an unreadable snapshot stays on the disk."""
         self.unread = ""
         self.state = State()
         self.applied_index = snapshot.index
@@ -253,7 +254,7 @@
             self.put(Tick())
 
     def note_storage_fault(self, error):
-        """Log a fault of the data folder, and fail all waiting requests."""
+        """Log and store a fault of the data folder; fail all waiting requests."""
         log_event("storage_failed", error=str(error))
         self.storage_fault = str(error)
         self.fail_waiters("storage_failed")
@@ -293,9 +294,9 @@
 
     @property
     def is_leader(self):
-        """Whether this replica leads and serves, to its own knowledge.
+        """Whether this replica leads and serves, as far as it knows.
 
-        Another one may lead by now; `confirm` checks that.
+        Another replica may have become the leader; `confirm` checks that.
         """
         return self.core.serves
 
@@ -469,7 +470,7 @@
                 self.put(Durable(last.index, last.term))
 
     def execute_action(self, action):
-        """Execute one action, unless it is one that `make_durable` handles."""
+        """Execute one action; ignore the kinds that `make_durable` handles."""
         if isinstance(action, Send):
             self.send(action.message)
         elif isinstance(action, SendSnapshot):
@@ -502,7 +503,7 @@
             self.put(SnapshotLost(message.receiver, message.term))
 
     def register_waiter(self, action):
-        """Record which request waits for the entry at an index."""
+        """Record the request that waits until an entry is applied."""
         self.waiter_by_index[action.index] = (action.term, action.token)
 
     def refuse(self, action):
@@ -520,7 +521,11 @@
             self.roster.take_over(lease_seconds())
 
     def fail_waiters(self, code):
-        """Raise `lost_leadership` in all waiters for entries; outcome unknown."""
+        """Raise `lost_leadership` in all waiters for entries: outcome unknown.
+
+        `code`
+            Detail of the error.
+        """
         for _, result in self.waiter_by_index.values():
             result.set_exception(HingepitchError("lost_leadership", code))
         self.waiter_by_index.clear()
@@ -528,10 +533,10 @@
     def refuse_queued(self):
         """Refuse the reads and the commands that are not in the log yet.
 
-        They could not succeed, and would wait for their timeout (4 s).
+        Otherwise they would wait for their timeout (4 s) without a chance of success.
         """
         waiting = self.admission.take(self.admission.size)
-        results = [one.result for one in waiting]
+        results = [command.result for command in waiting]
         reads, self.reads_waiting = self.reads_waiting, []
         for result in results + reads:
             result.set_exception(self.storage_error())
@@ -539,9 +544,9 @@
     # Applying entries.
 
     def apply_up_to(self, index):
-        """Apply the committed entries up to `index`, or to an unreadable one.
+        """Apply the committed entries up to `index`; stop at an unreadable entry.
 
-        A snapshot installed in the same step may already cover more.
+        A snapshot installed in the same step may already cover entries after it.
         """
         count = max(0, index - self.applied_index)
         for entry in self.core.log.after(self.applied_index, count):
@@ -554,11 +559,11 @@
         self.wake_waiters()
 
     def note_unread(self, what, error):
-        """Stop applying entries and leading, until a version that can read them.
+        """Stop applying entries and leading, until a version starts that can read them.
 
-        Skipping the entry would make this state differ from the others'
-        permanently. Exiting would recur at each start, and cost the group a
-        vote that it may need.
+        Skipping the entry would make this state differ permanently from that of
+        the other replicas. Exiting would recur at each start, and deprive the group
+        of a vote that it may need.
 
         `what`
             The entry or the state that cannot be read.
--- a/hingepitch/control/roster.py
+++ b/hingepitch/control/roster.py
@@ -34,8 +34,8 @@
     `lease_seconds`
         How long an entry accepts requests after its last contact with the group.
 
-    A new leader does not know which leases its predecessor granted, so it treats
-    every entry as if it got a lease when this leadership began.
+    A new leader does not know which leases its predecessor granted, so it assumes
+    that every entry got a lease at the moment when it became the leader.
     """
 
     def __init__(self, lease_seconds):
@@ -45,12 +45,12 @@
         self.report_received = Event()
 
     def take_over(self, now):
-        """Drop all status at the start of a leadership of this replica."""
+        """Drop all status; this replica became the leader at `now`."""
         self.status_by_entry = {}
         self.took_over_at = now
 
     def lease_end(self, now):
-        """Return when a lease granted at `now` is confirmed expired."""
+        """Return the time at which a lease granted at `now` has certainly expired."""
         return now + self.lease_seconds * CLOCK_DRIFT_FACTOR
 
     def status_of(self, entry):
@@ -75,11 +75,11 @@
         status.lease_until = max(status.lease_until, self.lease_end(now))
 
     def has_lease(self, entry, now):
-        """Whether the lease of an entry may not have expired yet."""
+        """Whether the lease of an entry may still be valid at `now`."""
         return now < self.status_of(entry).lease_until
 
     def is_in_force(self, entries, version, now):
-        """Whether no entry accepts requests by a state older than `version`."""
+        """Whether no entry accepts requests with a state older than `version`."""
         return all(
             self.status_of(entry).confirmed_version >= version
             or not self.has_lease(entry, now)
@@ -87,7 +87,7 @@
         )
 
     def is_drained(self, entries, vm, version, now, longest_request_seconds):
-        """Whether no entry sends requests to `vm` or has some in flight.
+        """Whether no entry sends requests to `vm` any more and none is in flight.
 
         `version` is the state version at which the VM began to leave.
         """
--- a/hingepitch/control/settings.py
+++ b/hingepitch/control/settings.py
@@ -33,7 +33,7 @@
     `data_folder`
         Folder of all persistent data.
     `peers`
-        The founding members, including this replica.
+        The initial members of the group, including this replica.
     `operators`
         The operators who may use the HTTP API.
     `lease_seconds`
--- a/hingepitch/control/snapshot.py
+++ b/hingepitch/control/snapshot.py
@@ -35,8 +35,8 @@
     """The state after applying the entry `index`, with the members at that index.
 
     `first_segment`
-        Segments with lower numbers are void: their entries are in the snapshot
-        or were never committed.
+        Segments with lower numbers are obsolete: their entries are covered by the
+        snapshot or were never committed.
     `vote`
         Term and vote when the snapshot was written.
     `trail`
@@ -65,7 +65,8 @@
     """Return the `Snapshot` of `data`.
 
     Earlier versions wrote snapshots without a checksum. Raises `storage_damaged`,
-    or `storage_unknown` if the checksum is correct: another version wrote it.
+    or `storage_unknown` if the checksum is correct, as another version must then
+    have written the snapshot.
     """
     record = read_frame(data)
     is_intact = record is not None and record[0] == SNAPSHOT_RECORD
--- a/hingepitch/control/storage.py
+++ b/hingepitch/control/storage.py
@@ -31,7 +31,7 @@
 IDENTITY_NAME = "identity"
 
 #: Separates name and random part in the identity of a replica that started with an
-#: empty folder. The identity of a founding member has no random part.
+#: empty folder. The identity of an initial member has no random part.
 IDENTITY_SEPARATOR = "~"
 
 #: Prefix of quarantined files: a log that could not be read, kept for the operator.
@@ -47,7 +47,7 @@
 
 
 def bootstrap_folder(folder, identity, members, disk=None):
-    """Create the data folder of a founding member of the group.
+    """Create the data folder of an initial member of the group.
 
     Raises `HingepitchError` (`storage_failed`) if the folder already has an
     identity or quarantined files: a group must not be bootstrapped twice.
@@ -188,9 +188,9 @@
         """Whether a folder without an identity holds files of an earlier identity.
 
         Snapshots and audit files count as well as segments: a power loss during
-        a quarantine may leave them, and a new identity would take them for its
-        own. The exception is a first snapshot alone, which an interrupted
-        bootstrap leaves.
+        a quarantine may leave them, and a replica with a new identity would use
+        them as its own. A first snapshot alone does not count, as an interrupted
+        bootstrap leaves it.
         """
         left = set(filter(LOG_FILE_NAME.fullmatch, os.listdir(self.folder)))
         if not self.list_quarantined_files():
@@ -283,10 +283,10 @@
         """
         if IDENTITY_SEPARATOR not in identity and not self.snapshot_bytes:
             raise HingepitchError(
-                "storage_damaged", "founding member without a snapshot"
+                "storage_damaged", "initial member without a snapshot"
             )
-        # Earlier versions, whose snapshots have no trail position, wrote no batch
-        # with a snapshot.
+        # Earlier versions wrote no batch with a snapshot; their snapshots have no
+        # trail position.
         if self.snapshot.trail is not None and not self.sequence:
             raise HingepitchError("storage_damaged", "no batch after the snapshot")
 
@@ -377,7 +377,7 @@
 
         The vote and the entries after the snapshot are first written and synced
         to a new segment. The snapshot names this segment, so all earlier files
-        are void even if a power loss restores their names.
+        are obsolete even if a power loss restores their names.
 
         `entries`
             Entries of the log after the snapshot.
@@ -395,13 +395,13 @@
             path = self.snapshot_path(snapshot.index)
             run_in_thread(write_atomic, self.disk, path, data)
             self.snapshot = snapshot
-            self.remove_void_files()
+            self.remove_obsolete_files()
         except OSError as error:
             raise HingepitchError("storage_failed", str(error)) from None
         self.snapshot_bytes = len(data)
         self.bytes_written += len(data)
 
-    def remove_void_files(self):
+    def remove_obsolete_files(self):
         """Remove the snapshots and segments that the latest snapshot replaces."""
         for number in self.numbers(SNAPSHOT_NAME):
             if number < self.snapshot.index:
--- a/hingepitch/control/writer.py
+++ b/hingepitch/control/writer.py
@@ -2,8 +2,8 @@
 hingepitch.control.writer
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Writes votes and entries to the data folder in order. A leader's entries are
-written in the background.
+Writes votes and entries to the data folder in order; writes a leader's entries
+in the background.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -23,8 +23,8 @@
 
     A leader writes its entries while the followers write them. If it waited for
     its own disk before sending, each change would wait for two disks in a row, and
-    a slow disk would block the leader: one stalled all VM moves for 1.3 s, until
-    the other replicas elected another leader.
+    a slow disk would block the leader. One such disk stalled all VM moves for
+    1.3 s, until the other replicas elected another leader.
 
     `storage`
         The `Storage` of the data folder.
--- a/hingepitch/load/generator.py
+++ b/hingepitch/load/generator.py
@@ -2,7 +2,8 @@
 hingepitch.load.generator
 ~~~~~~~~~~~~~~~~~~~~~~~~~
 
-Open-loop load generator: arrivals do not wait for answers.
+Open-loop load generator: sends requests at a given rate without waiting for the
+answers to earlier ones.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -101,7 +102,9 @@
     def __init__(self, targets, mix, rate, seconds, seed=1, prefix="/s/{service}"):
         if not 0 < rate <= MAX_RATE or not 0 < seconds <= MAX_SECONDS:
             raise HingepitchError("bad_request", "rate or duration out of range")
-        self.connections = [MinionConnections(parse_address(one)) for one in targets]
+        self.connections = [
+            MinionConnections(parse_address(target)) for target in targets
+        ]
         self.mix = mix
         self.rate = rate
         self.seconds = seconds
--- a/hingepitch/model/codec.py
+++ b/hingepitch/model/codec.py
@@ -40,8 +40,8 @@
 CHANGES_DECODER = msgspec.msgpack.Decoder(list[tuple[str, str, msgspec.Raw]])
 NIL = ENCODER.encode(None)
 
-#: Errors raised by malformed bytes, or by bytes of another version: unknown
-#: names, unbounded nesting, empty input.
+#: Errors that decoding raises for malformed bytes (such as empty input or unbounded
+#: nesting) and for bytes of another version (such as unknown names).
 DECODE_ERRORS = (msgspec.MsgspecError, KeyError, TypeError, RecursionError, zlib.error)
 
 #: Envelopes of at least this size, in bytes, are compressed, because each is sent
@@ -80,7 +80,7 @@
 
 
 def decompress_envelope(data):
-    """Return `data` of `encode_envelope`, decompressed if it is compressed.
+    """Return the result of `encode_envelope`, decompressed if it is compressed.
 
     Raises `zlib.error` if it is damaged or too large.
     """
--- a/hingepitch/model/command.py
+++ b/hingepitch/model/command.py
@@ -108,7 +108,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GrantPermit:
-    """Take a VM out of service, within the budgets of all its services."""
+    """Grant a permit to take a VM out of service, within its services' budgets."""
 
     vm: str
     purpose: Purpose
@@ -190,7 +190,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReleaseClaim:
-    """Delete a claim because no byte of the request left the entry."""
+    """Delete the claim of a request of which the entry has sent no byte."""
 
     service: str
     key: str
@@ -231,6 +231,8 @@
 class EndJob:
     """Record the end of a placed job.
 
+    `lease`
+        The job's `lease` for the placement that ended; refused if it has another.
     `state`
         New state of the job; WAITING puts it back in the queue.
     `is_lost`
--- a/hingepitch/model/index.py
+++ b/hingepitch/model/index.py
@@ -2,7 +2,7 @@
 hingepitch.model.index
 ~~~~~~~~~~~~~~~~~~~~~~
 
-Records grouped by a key.
+An index of records: groups of records by a key.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
--- a/hingepitch/model/record.py
+++ b/hingepitch/model/record.py
@@ -102,7 +102,7 @@
     `gives`
         Selects the VMs that it may give to other pools; empty: none.
     `floor`
-        Number of VMs at or below which the pool gives none away.
+        Minimum number of VMs: at or below it, the pool gives none away.
     """
 
     name: str
@@ -185,7 +185,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlannerLease:
-    """The lease that lets one planner plan.
+    """The lease of the one planner that may act.
 
     `fence`
         Fencing token: the log index at which the lease was taken.
--- a/hingepitch/model/selector.py
+++ b/hingepitch/model/selector.py
@@ -23,8 +23,8 @@
 SET = r"\((?P<set>[^()]*)\)"
 VALUE_IN_SET = re.compile(r"[A-Za-z0-9][\w.-]*\Z", re.ASCII)
 
-#: Pattern of each form of requirement, with the function that makes its test. The
-#: first pattern that matches the complete requirement applies.
+#: Pattern of each form of requirement, with a function that returns its test for a
+#: label value. The first pattern that matches the complete requirement applies.
 REQUIREMENT_PATTERNS = (
     (rf"{KEY}\s*==?\s*{VALUE}", lambda key, allowed: lambda have: have in allowed),
     (rf"{KEY}\s*!=\s*{VALUE}", lambda key, allowed: lambda have: have not in allowed),
--- a/hingepitch/model/state.py
+++ b/hingepitch/model/state.py
@@ -32,8 +32,8 @@
 #: Changes kept in a feed; a follower that is further behind gets all records.
 MAX_FEED_CHANGES = 50_000
 
-#: Errors raised by a snapshot that another version wrote: parts of other types,
-#: missing parts, or parts that do not fit each other.
+#: Errors that reading a snapshot of another version raises: its parts may be
+#: missing, have other types, or not fit each other.
 SNAPSHOT_ERRORS = (*DECODE_ERRORS, LookupError, AttributeError, ValueError)
 
 
@@ -42,6 +42,10 @@
 
     `kinds`
         The kinds of records whose changes the feed contains.
+    `version`
+        Version of the latest change.
+    `first_version`
+        Lowest version after which the feed still has all changes.
     """
 
     def __init__(self, kinds, version=0):
@@ -74,7 +78,7 @@
 
 
 class State:
-    """All records, with the indices that the rules and the planner use.
+    """All replicated records, with the indices that the rules and the planner use.
 
     `version` is the log index of the last change. Change records only through
     `put` and `drop`, which keep the indices and the feeds up to date.
@@ -96,7 +100,7 @@
         self.jobs_by_vm = Index()
         self.jobs_by_team = Index()
         self.waiting_job_by_name = {}
-        self.waiting_by_team = Index()
+        self.waiting_jobs_by_team = Index()
         self.ended_job_by_name = {}
         self.claims_by_age = deque()
         self.feed_by_name = {
@@ -146,7 +150,7 @@
                 self.jobs_by_team.add(record.team, key, record)
             elif record.state is JobState.WAITING:
                 self.waiting_job_by_name[key] = record
-                self.waiting_by_team.add(record.team, key, record)
+                self.waiting_jobs_by_team.add(record.team, key, record)
             else:
                 self.ended_job_by_name[key] = record
         elif kind == "claim" and record.version:
@@ -163,7 +167,7 @@
             self.jobs_by_vm.remove(record.vm, key)
             self.jobs_by_team.remove(record.team, key)
             self.waiting_job_by_name.pop(key, None)
-            self.waiting_by_team.remove(record.team, key)
+            self.waiting_jobs_by_team.remove(record.team, key)
             self.ended_job_by_name.pop(key, None)
 
     def minions(self, service):
@@ -215,7 +219,7 @@
         self.version = version
 
     def to_snapshot(self):
-        """Return the encoded state."""
+        """Return the state encoded as msgpack."""
         return ENCODER.encode(
             {
                 "version": self.version,
--- a/hingepitch/planner/placement.py
+++ b/hingepitch/planner/placement.py
@@ -33,9 +33,9 @@
 
 
 class VmQuarantine:
-    """Quarantines VMs on which different jobs fail, one after another.
+    """Quarantines VMs on which different jobs fail without a success in between.
 
-    A job that ends well on a VM clears the evidence against the VM.
+    A job that succeeds on a VM also ends the quarantine of the VM.
     """
 
     def __init__(self):
@@ -51,19 +51,19 @@
                 continue
             self.counted_tasks.add(name)
             if task.state is TaskState.FAILED:
-                self.note_failure(task.vm, name.partition("/")[0], now)
+                self.count_failure(task.vm, name.partition("/")[0], now)
             elif task.state is TaskState.DONE:
-                self.note_success(task.vm)
+                self.clear_failures(task.vm)
 
-    def note_failure(self, vm, job, now):
-        """Count a failure of `job` on `vm`."""
+    def count_failure(self, vm, job, now):
+        """Count a failure of `job` on `vm`; quarantine `vm` at the limit."""
         jobs = self.failed_jobs_by_vm.setdefault(vm, set())
         jobs.add(job)
         if len(jobs) >= QUARANTINE_AFTER_FAILED_JOBS:
             self.quarantined_until_by_vm[vm] = now + QUARANTINE_SECONDS
             jobs.clear()
 
-    def note_success(self, vm):
+    def clear_failures(self, vm):
         """Clear the failures and the quarantine of `vm`."""
         self.failed_jobs_by_vm.pop(vm, None)
         self.quarantined_until_by_vm.pop(vm, None)
@@ -74,14 +74,14 @@
 
 
 class FreeCapacity:
-    """Free capacity of each VM and team, less what the plan in progress takes."""
+    """Free capacity of VMs and free quota of teams, less what the plan uses so far."""
 
     def __init__(self, state):
         self.state = state
-        self.taken_by_vm = {}
-        self.taken_by_team = {}
+        self.planned_sizes_by_vm = {}
+        self.planned_sizes_by_team = {}
 
-    def taken(self, jobs, extra):
+    def total_size(self, jobs, extra):
         """Return the total size of `jobs` and of the sizes in `extra`.
 
         Sizes are `(cores, memory_gb, accelerators)`.
@@ -92,7 +92,7 @@
     def fits(self, job, vm):
         """Whether `job` fits on `vm` beside the running and planned jobs."""
         jobs = self.state.jobs_by_vm[vm.name].values()
-        taken = self.taken(jobs, self.taken_by_vm.get(vm.name, []))
+        taken = self.total_size(jobs, self.planned_sizes_by_vm.get(vm.name, []))
         limits = (vm.cores, vm.memory_gb, vm.accelerators)
         return all(
             used + more <= limit
@@ -105,16 +105,16 @@
         if team is None:
             return False
         jobs = self.state.jobs_by_team[job.team].values()
-        taken = self.taken(jobs, self.taken_by_team.get(job.team, []))
+        taken = self.total_size(jobs, self.planned_sizes_by_team.get(job.team, []))
         return (
             taken[0] + job.cores <= team.quota_cores
             and taken[2] + job.accelerators <= team.quota_accelerators
         )
 
-    def take(self, job, vm):
-        """Plan `job` on `vm`."""
-        self.taken_by_vm.setdefault(vm.name, []).append(size_of(job))
-        self.taken_by_team.setdefault(job.team, []).append(size_of(job))
+    def reserve(self, job, vm):
+        """Reserve capacity of `vm` and quota of the team for the planned `job`."""
+        self.planned_sizes_by_vm.setdefault(vm.name, []).append(size_of(job))
+        self.planned_sizes_by_team.setdefault(job.team, []).append(size_of(job))
 
 
 def size_of(job):
@@ -123,15 +123,15 @@
 
 
 def sort_by_urgency(jobs):
-    """Return the jobs sorted: urgent ones first, then by version."""
+    """Return the jobs sorted: urgent ones first, then by version and name."""
     return sorted(jobs, key=lambda job: (not job.urgent, job.version, job.name))
 
 
 def best_vm(state, room, job, is_quarantined):
-    """Return the VM for `job`, or None if it fits on no VM.
+    """Return the VM on which to place `job`, or None if it fits on no VM.
 
-    Prefers VMs with few accelerators, then those with few spare cores, where
-    each placed job counts as one core.
+    Prefers VMs with few accelerators, then VMs with few spare cores, where each
+    placed job counts as one core.
     """
     best = None
     for vm in state.vms_by_pool[job.pool].values():
@@ -161,7 +161,7 @@
             continue
         vm = best_vm(state, room, job, is_quarantined)
         if vm is not None:
-            room.take(job, vm)
+            room.reserve(job, vm)
             placed += 1
             yield Propose(PlaceJob(job.name, vm.name))
 
@@ -172,7 +172,7 @@
 
 
 def plan_tasks(state, view, is_renewal_due):
-    """Yield the platform calls for placed jobs and the commands for ended ones."""
+    """Yield the platform calls for placed jobs and a command for each ended one."""
     running = []
     for jobs in list(state.jobs_by_vm.values()):
         for job in jobs.values():
--- a/hingepitch/planner/platform.py
+++ b/hingepitch/planner/platform.py
@@ -48,8 +48,8 @@
         """Return the current `PlatformView`.
 
         `unhealthy_since_by_vm`
-            That of the previous view; VMs that are still unhealthy keep
-            their time.
+            Mapping of the previous view, from which VMs that are still unhealthy
+            keep their time.
         """
         vms = self.call("GET", "/vms")
         tasks = self.call("GET", "/tasks")
--- a/hingepitch/planner/program.py
+++ b/hingepitch/planner/program.py
@@ -82,18 +82,18 @@
             self.http.stop()
 
     def run_passes(self):
-        """Run passes until killed, while this planner holds the lease."""
+        """Run planning passes until killed; without the lease, only retry to get it."""
         while True:
             try:
-                if self.hold_lease():
-                    self.make_pass()
+                if self.ensure_lease():
+                    self.run_pass()
                 else:
                     gevent.sleep(self.settings.pass_seconds)
             except HingepitchError as error:
                 log_event("platform_failed", code=error.code, detail=error.detail)
                 gevent.sleep(RETRY_PAUSE_SECONDS)
 
-    def hold_lease(self):
+    def ensure_lease(self):
         """Acquire or renew the planner lease; return whether it is held."""
         seconds = self.settings.lease_seconds
         now = lease_seconds()
@@ -126,7 +126,7 @@
         self.version = changes.version
 
     def poll_platform(self, now):
-        """Get a new view of the platform if it is due; return whether it was."""
+        """Get a new view of the platform if one is due; return whether it was due."""
         if now < self.poll_due:
             return False
         before = self.view
@@ -136,10 +136,10 @@
         self.poll_due = now + self.settings.platform_seconds
         return True
 
-    def make_pass(self):
-        """Sync the state, plan once, and execute the steps.
+    def run_pass(self):
+        """Update the copy of the state, plan once, and execute the steps.
 
-        Waits for a change first if the last pass had no steps.
+        If the last pass had no steps, first waits for a change of the state.
         """
         self.sync_state(self.settings.pass_seconds if self.is_idle else 0)
         now = lease_seconds()
--- a/hingepitch/planner/scope.py
+++ b/hingepitch/planner/scope.py
@@ -45,23 +45,23 @@
             if version is not None and hasattr(version, "pool"):
                 self.names.add(version.pool)
         if kind == "job":
-            self.note_freed_quota(state, state.get(kind, key), record)
+            self.add_pools_waiting_for_quota(state, state.get(kind, key), record)
 
-    def note_freed_quota(self, state, before, after):
+    def add_pools_waiting_for_quota(self, state, before, after):
         """Add the pools of the waiting jobs of a team whose job has ended."""
         if before is None or before.state not in PLACED_STATES:
             return
         if after is None or after.state not in PLACED_STATES:
-            for job in state.waiting_by_team[before.team].values():
+            for job in state.waiting_jobs_by_team[before.team].values():
                 self.names.add(job.pool)
 
     def note_view(self, state, before, after):
-        """Add the pools of the VMs whose report by the platform has changed."""
+        """Add the pools of the VMs that the platform now reports differently."""
         for name, vm in after.vm_by_name.items():
             if before.vm_by_name.get(name) != vm:
-                self.note_vm(state, name)
+                self.add_pool_of_vm(state, name)
 
-    def note_vm(self, state, name):
+    def add_pool_of_vm(self, state, name):
         """Add the pool of a VM."""
         vm = state.get("vm", name)
         if vm is not None:
--- a/hingepitch/planner/settings.py
+++ b/hingepitch/planner/settings.py
@@ -21,7 +21,7 @@
     """Settings of `hingepitch-planner`.
 
     `control`
-        `IP:port` of the control replicas.
+        `IP:port` of each control replica.
     `platform`
         `IP:port` of the platform's API.
     `lease_seconds`
--- a/hingepitch/planner/step.py
+++ b/hingepitch/planner/step.py
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CheckDrained:
-    """Ask the control group whether a VM is drained; record it if so."""
+    """Ask the control group whether a VM is drained; if so, record that."""
 
     vm: str
 
--- a/hingepitch/planner/wave.py
+++ b/hingepitch/planner/wave.py
@@ -58,12 +58,15 @@
         )
 
     def scarcity(self, services):
-        """Return how scarce the remaining budgets of `services` are in total."""
+        """Return how scarce the remaining budgets are, as the sum of their inverses.
+
+        A used-up budget counts as one half.
+        """
         return sum(
             1 / max(self.left_by_service[service.name], 0.5) for service in services
         )
 
-    def take(self, services):
+    def spend(self, services):
         """Take one VM off the remaining budget of each of `services`."""
         for service in services:
             self.left_by_service[service.name] -= 1
@@ -123,26 +126,35 @@
     domains at once.
     """
     candidates = list(candidates)
-    left = Counter(service.name for _, services in candidates for service in services)
+    remaining_by_service = Counter(
+        service.name for _, services in candidates for service in services
+    )
 
     def key(pair):
         vm, services = pair
-        rounds = max((rounds_left(service, left) for service in services), default=0)
+        rounds = max(
+            (rounds_left(service, remaining_by_service) for service in services),
+            default=0,
+        )
         return -rounds, vm.rack not in racks_down, budgets.scarcity(services), vm.name
 
     return sorted(candidates, key=key)
 
 
-def rounds_left(service, left):
-    """Return how many rounds `service` needs for its remaining VMs."""
-    return left[service.name] / max(service.max_down, 0.5)
+def rounds_left(service, remaining_by_service):
+    """Return how many rounds `service` needs for its remaining VMs.
+
+    `remaining_by_service`
+        Number of VMs of each service that still need maintenance.
+    """
+    return remaining_by_service[service.name] / max(service.max_down, 0.5)
 
 
-def within_budget(candidates, budgets):
-    """Yield the candidates that all budgets allow, and spend the budgets."""
+def select_within_budget(candidates, budgets):
+    """Yield the VMs of the candidates that all budgets allow; spend the budgets."""
     for vm, services in candidates:
         if budgets.left(services) > 0:
-            budgets.take(services)
+            budgets.spend(services)
             yield vm
 
 
@@ -151,7 +163,9 @@
     budgets = Budgets(state, pools)
     racks_down = {vm.rack for pool in pools for vm in state.down_by_pool[pool].values()}
     candidates = wave_candidates(state, view, now_seconds, pools)
-    for vm in within_budget(sort_candidates(candidates, budgets, racks_down), budgets):
+    for vm in select_within_budget(
+        sort_candidates(candidates, budgets, racks_down), budgets
+    ):
         boot_id = view.vm_by_name[vm.name].boot_id
         yield Propose(GrantPermit(vm.name, Purpose.MAINTENANCE, boot_id))
 
@@ -181,7 +195,7 @@
 
 
 def plan_health(state, view, now, lost_after_seconds):
-    """Yield reports of VMs that the platform reports as lost or healthy again."""
+    """Yield a command for each VM that became lost or is healthy again."""
     for name, since in view.unhealthy_since_by_vm.items():
         vm = state.get("vm", name)
         is_up = vm is not None and vm.life in (VmLifecycle.LIVE, VmLifecycle.LEAVING)
@@ -194,7 +208,7 @@
 
 
 def plan_recovery(state, vm, reported):
-    """Return the step that ends the loss of a VM that is healthy again."""
+    """Return the step for a lost VM that is healthy again."""
     permit = state.get("permit", vm.name)
     if permit is not None and reported.boot_id != permit.boot_id:
         return Propose(ReturnVm(vm.name, reported.boot_id))
