--- a/hingepitch/control/program.py
+++ b/hingepitch/control/program.py
@@ -138,7 +138,7 @@
     def drain(self):
         """Transfer the leadership to another replica."""
         if self.replica.is_leader:
-            self.replica.transfer()
+            self.replica.transfer_leadership()
             wait_until(lambda: not self.replica.is_leader, TRANSFER_SECONDS)
 
     def stop(self):
--- a/hingepitch/control/replica.py
+++ b/hingepitch/control/replica.py
@@ -392,7 +392,7 @@
         self.changed.set()
         self.changed = Event()
 
-    def transfer(self):
+    def transfer_leadership(self):
         """Transfer the leadership to another replica, for a planned stop."""
         self.put(TransferLeadership())
 
--- a/hingepitch/planner/executor.py
+++ b/hingepitch/planner/executor.py
@@ -60,32 +60,32 @@
         return outcome
 
     @singledispatchmethod
-    def carry_out(self, step):
+    def execute_step(self, step):
         """Execute one step; raise `HingepitchError` if it fails."""
         raise TypeError(f"not a step: {step!r}")
 
-    @carry_out.register
+    @execute_step.register
     def _(self, step: Propose):
         self.propose(step.command)
 
-    @carry_out.register
+    @execute_step.register
     def _(self, step: CheckDrained):
         if self.group.call("is_drained", step.vm, seconds=PROPOSE_SECONDS):
             self.propose(MarkDrained(step.vm))
 
-    @carry_out.register
+    @execute_step.register
     def _(self, step: Reboot):
         self.platform.reboot(step.vm, step.request_id)
 
-    @carry_out.register
+    @execute_step.register
     def _(self, step: StartTask):
         name = f"{step.job}/{step.lease}"
         self.platform.start_task(name, step.vm, step.run_seconds)
 
-    @carry_out.register
+    @execute_step.register
     def _(self, step: StopTask):
         self.platform.stop_task(step.task)
 
-    @carry_out.register
+    @execute_step.register
     def _(self, step: RenewTasks):
         self.platform.renew_tasks(step.tasks)
--- a/hingepitch/planner/program.py
+++ b/hingepitch/planner/program.py
@@ -149,7 +149,7 @@
         self.pass_seconds = lease_seconds() - started
         self.metrics.observe("pass_seconds", "Time of planning.", self.pass_seconds)
         for step in steps:
-            self.carry_out(step)
+            self.execute_step(step)
         self.is_idle = not steps
 
     def plan(self, now, polled):
@@ -174,10 +174,10 @@
         self.renewal_due = now + TASK_LEASE_SECONDS * RENEW_FRACTION
         return True
 
-    def carry_out(self, step):
+    def execute_step(self, step):
         """Execute one step; a failure is logged and does not stop the others."""
         try:
-            self.executor.carry_out(step)
+            self.executor.execute_step(step)
         except HingepitchError as error:
             self.scope.is_full = True
             log_event("platform_failed", step=repr(step), detail=error.detail)
