--- a/hingepitch/control/audit.py
+++ b/hingepitch/control/audit.py
@@ -149,12 +149,12 @@
         self.file.truncate(at)
 
     def record_loss(self, lost_bytes):
-        """Add a record that stands for synced records that are missing."""
+        """Remove an incomplete last line; add a record for the lost synced records."""
         log_event("audit_incomplete", file=self.path.name, lost_bytes=lost_bytes)
         self.file.truncate(self.path.read_bytes().rfind(b"\n") + 1)
         readable = filter(None, map(decode_line, self.all_lines()))
         self.last_index = max((record.index for record in readable), default=0)
-        self.skip_to(self.synced_position.index)
+        self.record_missing_up_to(self.synced_position.index)
 
     def find_position(self, snapshot_index):
         """Return the synced position of a trail that an earlier version wrote.
@@ -229,7 +229,7 @@
         if len(self.buffer) >= BUFFER_BYTES:
             self.flush()
 
-    def skip_to(self, index):
+    def record_missing_up_to(self, index):
         """Add a record that stands for the missing records up to `index`.
 
         A snapshot installed from another replica holds no audit records.
@@ -307,5 +307,5 @@
 
 
 def file_number(path):
-    """Return the number in the name of an audit file."""
+    """Return the sequence number in the name of an audit file."""
     return int(path.stem.removeprefix("audit-"))
--- a/hingepitch/control/handler.py
+++ b/hingepitch/control/handler.py
@@ -23,7 +23,8 @@
 MAX_WAIT_SECONDS = 30.0
 DEADLINE_GRACE_SECONDS = 1.0
 
-#: Interval of the checks for expired leases, which no report announces.
+#: Interval at which `is_in_force` checks for expired leases, in seconds: the expiry
+#: of a lease triggers no event.
 IN_FORCE_POLL_SECONDS = 0.1
 
 
@@ -47,7 +48,7 @@
         seconds.
         """
         if not self.replica.is_open:
-            raise HingepitchError("storage_failed", self.replica.unread)
+            raise HingepitchError("storage_failed", self.replica.read_fault)
         for wire in messages:
             self.replica.receive(from_wire(wire))
 
@@ -58,11 +59,11 @@
 
     def read_index(self):
         """Return the log index that a replica must apply before a confirmed read."""
-        return self.call_or_redirect(self.replica.confirm)
+        return self.call_or_redirect(self.replica.confirm_leadership)
 
     def is_drained(self, vm):
-        """Whether a leaving VM gets no new requests and has none in flight."""
-        self.call_or_redirect(self.replica.confirm)
+        """Whether a VM with a permit gets no new requests and has none in flight."""
+        self.call_or_redirect(self.replica.confirm_leadership)
         permit = self.replica.state.get("permit", vm)
         if permit is None:
             raise HingepitchError("unknown_object", f"no permit for {vm}")
@@ -75,14 +76,14 @@
         )
 
     def is_in_force(self, version, wait_ms):
-        """Whether no entry works by a state older than `version`.
+        """Whether no entry uses a state older than `version` any more.
 
-        Waits up to `wait_ms` for this. The routing feed holds only the changes
+        Waits up to `wait_ms` for that. The routing feed holds only the changes
         that entries need; any other change is in force once it is committed.
         """
         deadline = lease_seconds() + min(wait_ms / 1000, MAX_WAIT_SECONDS)
         while True:
-            self.call_or_redirect(self.replica.confirm)
+            self.call_or_redirect(self.replica.confirm_leadership)
             state = self.replica.state
             needed = min(version, state.feed_by_name["routing"].version)
             entries = state.by_kind["entry"]
@@ -113,9 +114,9 @@
         longest = self.roster.lease_seconds * MAX_WAIT_LEASE_FRACTION
         seconds = min(request.wait_ms / 1000, longest)
         self.wait_for_feed("routing", request.applied_version, seconds)
-        self.call_or_redirect(self.replica.confirm)
+        self.call_or_redirect(self.replica.confirm_leadership)
         changes = self.changes("routing", request.applied_version, 0)
-        self.roster.grant(request.entry, lease_seconds())
+        self.roster.renew_lease(request.entry, lease_seconds())
         changes.lease_ms = int(self.roster.lease_seconds * 1000)
         return changes
 
--- a/hingepitch/control/program.py
+++ b/hingepitch/control/program.py
@@ -66,18 +66,18 @@
             self.address_of,
             settings.seed,
         )
-        self.book = PeerRegistry(
+        self.peer_registry = PeerRegistry(
             [settings.rpc_address, *(peer.address for peer in settings.peers)],
             settings.data_folder,
             self.disk,
         )
-        self.book.load()
+        self.peer_registry.load()
         self.group = GroupClient(
-            self.book.addresses(), settings.name, settings.shared_key
+            self.peer_registry.addresses(), settings.name, settings.shared_key
         )
         self.reconciler = GroupReconciler(
             self.replica,
-            self.book,
+            self.peer_registry,
             self.make_group(RECONCILER_CALL_SECONDS),
             Member("", settings.name, settings.rpc_address, settings.hall, False),
             settings.voters,
@@ -97,7 +97,7 @@
         """Return a client of the group whose calls time out after `seconds`."""
         settings = self.settings
         return GroupClient(
-            self.book.addresses(), settings.name, settings.shared_key, seconds
+            self.peer_registry.addresses(), settings.name, settings.shared_key, seconds
         )
 
     def make_api(self):
@@ -117,8 +117,8 @@
     def start(self):
         """Start the servers, recover the state, and start the child greenlets.
 
-        The servers start first, so that a replica that still waits for its data
-        folder refuses calls and its clients go on to another replica.
+        The servers start first: while the replica still waits for its data folder,
+        it refuses calls, so that clients try another replica.
         """
         self.listen("rpc", self.rpc)
         self.listen("http", self.http)
@@ -133,12 +133,12 @@
     def refresh_peer_registry(self):
         """Keep the replicas' addresses up to date if members change automatically."""
         if self.settings.voters:
-            self.book.refresh_forever(self.reconciler.group, self.group)
+            self.peer_registry.refresh_forever(self.reconciler.group, self.group)
 
     def drain(self):
         """Transfer the leadership to another replica."""
         if self.replica.is_leader:
-            self.replica.transfer()
+            self.replica.transfer_leadership()
             wait_until(lambda: not self.replica.is_leader, TRANSFER_SECONDS)
 
     def stop(self):
@@ -158,7 +158,7 @@
         for peer in self.settings.peers:
             if peer.name == name:
                 return peer.address
-        return self.book.address_of(identity)
+        return self.peer_registry.address_of(identity)
 
     def update_folder_metrics(self):
         """Set the metrics of the data folder and the audit trail."""
@@ -171,7 +171,7 @@
         self.metrics.set(
             "log_unread",
             "1 while the state lacks an entry that cannot be read.",
-            int(bool(replica.unread)),
+            int(bool(replica.read_fault)),
         )
         self.metrics.set(
             "log_set_aside",
@@ -187,7 +187,9 @@
     def is_healthy(self):
         """Whether this replica knows a leader and can write and read its log."""
         replica = self.replica
-        return bool(replica.core.leader) and not replica.storage_fault + replica.unread
+        return (
+            bool(replica.core.leader) and not replica.storage_fault + replica.read_fault
+        )
 
     def status(self):
         """Return the status of this replica as plain values."""
@@ -212,7 +214,7 @@
             "snapshot_index": replica.storage.snapshot.index,
             "commands_applied": replica.commands_applied,
             "storage_fault": replica.storage_fault,
-            "unread": replica.unread,
+            "unread": replica.read_fault,
             "set_aside": replica.storage.quarantined_files_reason,
             "failing_children": self.supervisor.failing,
             "entries": entries,
@@ -220,7 +222,7 @@
 
 
 def init_data_folder(settings_path):
-    """Create the data folder of a founding member; return the exit code."""
+    """Create the data folder of an initial member; return the exit code."""
     try:
         settings = load_settings(ControlSettings, settings_path)
         members = tuple(
@@ -241,7 +243,7 @@
 
     :param settings: the settings file (YAML)
     :param check: only check the settings, then exit
-    :param init: create the data folder of a founding member, then exit; only
+    :param init: create the data folder of an initial member, then exit; only
         to bootstrap a new group, never to replace a lost disk
     """
     if init:
--- a/hingepitch/control/replica.py
+++ b/hingepitch/control/replica.py
@@ -63,7 +63,7 @@
 PAUSE_AFTER_FAULT_SECONDS = 1.0
 READ_SECONDS = 2.0
 
-#: Value of `Replica.unread` until the data folder is open.
+#: Value of `Replica.read_fault` until the data folder is open.
 NOT_OPEN = "the data folder is not open yet"
 
 #: How long a starting replica waits for another process to release the lock of
@@ -114,9 +114,10 @@
         Function that returns the address of an identity, or None.
     `seed`
         Seed of the random election timeouts.
-    `unread`
-        Which entry or snapshot cannot be read, and why; empty if all can be.
-        Later entries are stored but not applied, so `state` must not be used.
+    `read_fault`
+        Which entry or snapshot cannot be read, and why; empty if there is none.
+        While it is set, entries are stored but not applied, and `state` must not
+        be used.
     """
 
     def __init__(self, storage, audit, links, roster, address_of, seed):
@@ -128,13 +129,14 @@
         self.roster = roster
         self.address_of = address_of
         self.seed = seed
-        # Placeholder that belongs to no group, so it neither votes nor leads.
+        # Placeholder until `open`: it belongs to no group, so it neither votes nor
+        # leads.
         self.core = Consensus(Recovered(identity=""), seed)
         self.state = State()
         self.applied_index = 0
         self.applied_term = 0
         self.inbox = deque()
-        self.arrived = Event()
+        self.wakeup = Event()
         self.changed = Event()
         self.admission = Admission()
         self.waiter_by_index = {}
@@ -143,7 +145,7 @@
         self.log_bytes = 0
         self.proposed_at = 0.0
         self.storage_fault = ""
-        self.unread = NOT_OPEN
+        self.read_fault = NOT_OPEN
         self.must_reopen = False
 
     # Life cycle.
@@ -160,9 +162,8 @@
         """Open the data folder, retrying until that succeeds.
 
         A failure does not end the program: the next start would fail in the
-        same way, and until then no operator could query the reason. The
-        exception is a folder that stays locked by another process, as the
-        replica was then started twice.
+        same way, and operators could not query the reason. Only a folder that
+        stays locked by another process ends it: the replica was started twice.
 
         `stopping`
             Event that ends the retries.
@@ -179,9 +180,9 @@
                 is_locked = getattr(error, "code", "") == "folder_locked"
                 if is_locked and lease_seconds() > locked_until:
                     raise
-                self.note_storage_fault(error)
+                self.handle_storage_fault(error)
             except Exception as error:
-                self.note_storage_fault(f"{error!r} at {source_location(error)}")
+                self.handle_storage_fault(f"{error!r} at {source_location(error)}")
             self.close()
             stopping.wait(PAUSE_AFTER_FAULT_SECONDS)
             self.recreate_stores()
@@ -193,8 +194,8 @@
         self.audit = self.audit.unopened_copy()
 
     def load_snapshot(self, snapshot):
-        """Load the state of `snapshot`; an unreadable one stays on the disk."""
-        self.unread = ""
+        """Load the state of `snapshot`; an unreadable snapshot stays on the disk."""
+        self.read_fault = ""
         self.state = State()
         self.applied_index = snapshot.index
         self.applied_term = snapshot.term
@@ -203,11 +204,11 @@
                 self.state = State.from_snapshot(snapshot.state)
             self.put(MayLead(True))
         except HingepitchError as error:
-            self.note_unread(f"state at {snapshot.index}", error)
+            self.stop_applying(f"state at {snapshot.index}", error)
         except Exception as error:
             # A fault in this version's code. The log and the vote are intact, so
             # the replica can go on storing entries and voting.
-            self.note_unread(f"state at {snapshot.index}", repr(error))
+            self.stop_applying(f"state at {snapshot.index}", repr(error))
         self.wake_waiters()
 
     def run(self):
@@ -225,14 +226,14 @@
             except (HingepitchError, OSError) as error:
                 if getattr(error, "code", "storage_failed") != "storage_failed":
                     raise
-                self.note_storage_fault(error)
+                self.handle_storage_fault(error)
                 gevent.sleep(PAUSE_AFTER_FAULT_SECONDS)
 
     def handle_forever(self):
         """Handle events as they arrive; raise the error of a failed write."""
         while True:
-            self.arrived.wait(BATCH_SECONDS if self.admission.has_waiting else None)
-            self.arrived.clear()
+            self.wakeup.wait(BATCH_SECONDS if self.admission.has_waiting else None)
+            self.wakeup.clear()
             self.writer.check()
             self.handle_events()
 
@@ -243,7 +244,7 @@
                 self.writer.wait_and_write()
             except HingepitchError:
                 # Wake the event loop, which logs the fault and reopens the folder.
-                self.arrived.set()
+                self.wakeup.set()
                 gevent.sleep(PAUSE_AFTER_FAULT_SECONDS)
 
     def tick(self):
@@ -252,8 +253,8 @@
             gevent.sleep(TICK_SECONDS)
             self.put(Tick())
 
-    def note_storage_fault(self, error):
-        """Log a fault of the data folder, and fail all waiting requests."""
+    def handle_storage_fault(self, error):
+        """Log and store a fault of the data folder; fail all waiting requests."""
         log_event("storage_failed", error=str(error))
         self.storage_fault = str(error)
         self.fail_waiters("storage_failed")
@@ -282,7 +283,7 @@
     def put(self, event):
         """Queue an event for the core."""
         self.inbox.append(event)
-        self.arrived.set()
+        self.wakeup.set()
 
     # Interface for the other components of this process.
 
@@ -293,9 +294,9 @@
 
     @property
     def is_leader(self):
-        """Whether this replica leads and serves, to its own knowledge.
+        """Whether this replica leads and serves, as far as it knows.
 
-        Another one may lead by now; `confirm` checks that.
+        Another replica may have become the leader; `confirm_leadership` checks that.
         """
         return self.core.serves
 
@@ -319,7 +320,7 @@
         result = AsyncResult()
         lane = envelope.partner or envelope.role.value
         self.admission.put(lane, PendingCommand(encode_envelope(stamped), result))
-        self.arrived.set()
+        self.wakeup.set()
         return self.wait_for(result, PROPOSE_SECONDS)
 
     def change_members(self, members):
@@ -328,7 +329,7 @@
         self.put(ProposeMembers(members, result))
         return self.wait_for(result, PROPOSE_SECONDS)
 
-    def confirm(self):
+    def confirm_leadership(self):
         """Confirm the leadership for a linearizable read; return its index.
 
         Returns once a quorum has confirmed that this replica leads and the
@@ -341,7 +342,7 @@
             raise HingepitchError("not_leader", retry_after_ms=200)
         result = AsyncResult()
         self.reads_waiting.append(result)
-        self.arrived.set()
+        self.wakeup.set()
         index = self.wait_for(result, READ_SECONDS)
         self.wait_applied(index, READ_SECONDS)
         return index
@@ -361,8 +362,10 @@
 
         That code tells the caller to ask another replica.
         """
-        if self.unread:
-            raise HingepitchError("lost_leadership", self.unread, retry_after_ms=1000)
+        if self.read_fault:
+            raise HingepitchError(
+                "lost_leadership", self.read_fault, retry_after_ms=1000
+            )
 
     def wait_for(self, result, seconds):
         """Return the value of `result`; raise `lost_leadership` on timeout."""
@@ -391,7 +394,7 @@
         self.changed.set()
         self.changed = Event()
 
-    def transfer(self):
+    def transfer_leadership(self):
         """Transfer the leadership to another replica, for a planned stop."""
         self.put(TransferLeadership())
 
@@ -408,7 +411,7 @@
             payloads = [command.payload for command in waiting]
             results = [command.result for command in waiting]
             actions += self.core.step(Propose(payloads, results))
-            self.arrived.set()
+            self.wakeup.set()
         if self.reads_waiting:
             reads, self.reads_waiting = self.reads_waiting, []
             actions += self.core.step(ReadRequest(reads))
@@ -469,7 +472,7 @@
                 self.put(Durable(last.index, last.term))
 
     def execute_action(self, action):
-        """Execute one action, unless it is one that `make_durable` handles."""
+        """Execute one action; ignore the kinds that `make_durable` handles."""
         if isinstance(action, Send):
             self.send(action.message)
         elif isinstance(action, SendSnapshot):
@@ -502,7 +505,7 @@
             self.put(SnapshotLost(message.receiver, message.term))
 
     def register_waiter(self, action):
-        """Record which request waits for the entry at an index."""
+        """Record the request that waits until an entry is applied."""
         self.waiter_by_index[action.index] = (action.term, action.token)
 
     def refuse(self, action):
@@ -520,7 +523,11 @@
             self.roster.take_over(lease_seconds())
 
     def fail_waiters(self, code):
-        """Raise `lost_leadership` in all waiters for entries; outcome unknown."""
+        """Raise `lost_leadership` in all waiters for entries: outcome unknown.
+
+        `code`
+            Detail of the error.
+        """
         for _, result in self.waiter_by_index.values():
             result.set_exception(HingepitchError("lost_leadership", code))
         self.waiter_by_index.clear()
@@ -528,10 +535,10 @@
     def refuse_queued(self):
         """Refuse the reads and the commands that are not in the log yet.
 
-        They could not succeed, and would wait for their timeout (4 s).
+        Otherwise they would wait for their timeout (4 s) without a chance of success.
         """
         waiting = self.admission.take(self.admission.size)
-        results = [one.result for one in waiting]
+        results = [command.result for command in waiting]
         reads, self.reads_waiting = self.reads_waiting, []
         for result in results + reads:
             result.set_exception(self.storage_error())
@@ -539,34 +546,34 @@
     # Applying entries.
 
     def apply_up_to(self, index):
-        """Apply the committed entries up to `index`, or to an unreadable one.
+        """Apply the committed entries up to `index`; stop at an unreadable entry.
 
-        A snapshot installed in the same step may already cover more.
+        A snapshot installed in the same step may already cover entries after it.
         """
         count = max(0, index - self.applied_index)
         for entry in self.core.log.after(self.applied_index, count):
-            if self.unread:
+            if self.read_fault:
                 break
             try:
                 self.apply_entry(entry)
             except HingepitchError as error:
-                self.note_unread(f"entry {entry.index}", error)
+                self.stop_applying(f"entry {entry.index}", error)
         self.wake_waiters()
 
-    def note_unread(self, what, error):
-        """Stop applying entries and leading, until a version that can read them.
+    def stop_applying(self, what, error):
+        """Stop applying entries and leading, until a version starts that can read them.
 
-        Skipping the entry would make this state differ from the others'
-        permanently. Exiting would recur at each start, and cost the group a
-        vote that it may need.
+        Skipping the entry would make this state differ permanently from that of
+        the other replicas. Exiting would recur at each start, and deprive the group
+        of a vote that it may need.
 
         `what`
             The entry or the state that cannot be read.
         """
-        self.unread = f"{what}: {error}"
+        self.read_fault = f"{what}: {error}"
         log_event("entry_unread", what=what, error=error)
         self.put(MayLead(False))
-        self.fail_waiters(self.unread)
+        self.fail_waiters(self.read_fault)
 
     def apply_entry(self, entry):
         """Apply one entry and answer the request that waits for it."""
@@ -624,7 +631,7 @@
 
     def snapshot_if_due(self):
         """Write a snapshot and compact the log if enough entries were applied."""
-        if self.unread:
+        if self.read_fault:
             return
         entries = self.applied_index - self.storage.snapshot.index
         if not is_snapshot_due(entries, self.log_bytes, self.storage.snapshot_bytes):
@@ -650,7 +657,7 @@
 
     def send_snapshot(self, action):
         """Send the current state to a follower that needs a snapshot."""
-        if self.unread:
+        if self.read_fault:
             return
         snapshot = self.make_snapshot()
         members = Entry(
@@ -675,7 +682,7 @@
     def install(self, action):
         """Store and load a snapshot that the leader sent."""
         snapshot = Snapshot(action.index, action.term, action.members, action.snapshot)
-        self.audit.skip_to(action.index)
+        self.audit.record_missing_up_to(action.index)
         snapshot.trail = self.audit.sync()
         self.storage.save_snapshot(snapshot)
         self.load_snapshot(snapshot)
--- a/hingepitch/jobs/dispatch.py
+++ b/hingepitch/jobs/dispatch.py
@@ -71,7 +71,7 @@
     def is_confirmed(self):
         """Whether this replica leads and has applied all committed entries."""
         try:
-            self.replica.confirm()
+            self.replica.confirm_leadership()
             return True
         except HingepitchError:
             return False  # Expected while another replica leads, or none yet.
--- a/hingepitch/jobs/service.py
+++ b/hingepitch/jobs/service.py
@@ -79,9 +79,9 @@
         if not outcome.accepted:
             raise HingepitchError(outcome.code, outcome.detail, RETRY_AFTER_MS)
 
-    def confirm(self):
+    def confirm_leadership(self):
         """Confirm that this replica leads and has applied all committed entries."""
-        self.replica.confirm()
+        self.replica.confirm_leadership()
         self.confirmed_at = lease_seconds()
 
     @singledispatchmethod
@@ -139,7 +139,7 @@
 
     @answer.register
     def _(self, question: questions.AskJob):
-        self.confirm()
+        self.confirm_leadership()
         job = self.table.job_by_id.get(question.id)
         if job is None:
             self.require_queue(question)
@@ -154,7 +154,7 @@
     @answer.register
     def _(self, question: questions.AskPending):
         if lease_seconds() - self.confirmed_at > MAX_CONFIRMATION_AGE_SECONDS:
-            self.confirm()
+            self.confirm_leadership()
         queue = self.require_queue(question)
         return self.table.pending_by_route[queue.route]
 
@@ -180,7 +180,7 @@
 
     @answer.register
     def _(self, question: questions.AskConfig):
-        self.confirm()
+        self.confirm_leadership()
         config = self.table.config
         return config.document if config is not None else None
 
@@ -200,7 +200,7 @@
 
     @answer.register
     def _(self, question: questions.AskWave):
-        self.confirm()
+        self.confirm_leadership()
         wave = self.table.wave_by_number.get(question.number)
         if wave is None:
             raise HingepitchError("unknown_object", f"no wave {question.number}")
--- a/hingepitch/jobs/session.py
+++ b/hingepitch/jobs/session.py
@@ -396,13 +396,13 @@
         while True:
             began = lease_seconds()
             if began - self.confirmed_at > CONFIRM_SECONDS:
-                self.confirm(began)
+                self.confirm_leadership(began)
             gevent.sleep(CONFIRM_SECONDS)
 
-    def confirm(self, began):
+    def confirm_leadership(self, began):
         """Ask a quorum whether this replica still leads."""
         try:
-            self.replica.confirm()
+            self.replica.confirm_leadership()
             self.confirmed_at = max(began, self.confirmed_at)
         except HingepitchError as error:
             log_event("leader_unconfirmed", fence=self.fence, error=error.code)
--- a/hingepitch/model/apply.py
+++ b/hingepitch/model/apply.py
@@ -19,7 +19,7 @@
 from hingepitch.model.record import Claim, PlannerLease
 from hingepitch.model.rule import Refusal, apply_command
 from hingepitch.model.rules.claim import expire_claims
-from hingepitch.model.rules.job import forget_ended_jobs
+from hingepitch.model.rules.job import drop_ended_jobs
 
 __all__ = ["apply", "is_resend", "object_of"]
 
@@ -39,11 +39,11 @@
     command_id = full_command_id(envelope)
     if command_id in state.outcome_by_command_id:
         return state.outcome_by_command_id[command_id]
-    outcome = decide(state, envelope, index)
+    outcome = check_and_apply(state, envelope, index)
     if command_id:
-        remember_outcome(state, command_id, outcome)
+        store_outcome(state, command_id, outcome)
     expire_claims(state, index)
-    forget_ended_jobs(state, index)
+    drop_ended_jobs(state, index)
     return outcome
 
 
@@ -57,23 +57,23 @@
     return full_command_id(envelope) in state.outcome_by_command_id
 
 
-def decide(state, envelope, index):
+def check_and_apply(state, envelope, index):
     """Check and apply a command seen for the first time; return its outcome."""
     try:
         check_role(envelope)
         check_fence(state, envelope)
         check_version(state, envelope)
-        made = apply_command(envelope.command, state, envelope, index)
+        stored_record = apply_command(envelope.command, state, envelope, index)
     except Refusal as refusal:
         return refusal.outcome
     except HingepitchError as error:
         return Outcome(code=error.code, detail=error.detail)
-    claim = made if isinstance(made, Claim) else None
-    fence = made.fence if isinstance(made, PlannerLease) else 0
+    claim = stored_record if isinstance(stored_record, Claim) else None
+    fence = stored_record.fence if isinstance(stored_record, PlannerLease) else 0
     return Outcome(version=state.version, claim=claim, fence=fence)
 
 
-def remember_outcome(state, command_id, outcome):
+def store_outcome(state, command_id, outcome):
     """Keep the outcome for resends, and drop the oldest beyond the limit."""
     state.outcome_by_command_id[command_id] = outcome
     while len(state.outcome_by_command_id) > MAX_COMMAND_IDS:
--- a/hingepitch/model/rules/job.py
+++ b/hingepitch/model/rules/job.py
@@ -15,7 +15,7 @@
 from hingepitch.model.rule import Refusal, apply_command, check_lifecycle, require
 from hingepitch.model.selector import matches, parse_selector
 
-__all__ = ["check_quota", "check_room", "forget_ended_jobs"]
+__all__ = ["check_quota", "check_room", "drop_ended_jobs"]
 
 #: Maximum number of ended jobs that are kept.
 MAX_ENDED_JOBS = 20_000
@@ -28,7 +28,7 @@
 }
 
 
-def forget_ended_jobs(state, index):
+def drop_ended_jobs(state, index):
     """Drop the jobs that ended first, beyond `MAX_ENDED_JOBS`."""
     while len(state.ended_job_by_name) > MAX_ENDED_JOBS:
         state.drop("job", next(iter(state.ended_job_by_name)), index)
--- a/hingepitch/model/rules/maintenance.py
+++ b/hingepitch/model/rules/maintenance.py
@@ -70,7 +70,7 @@
         raise Refusal("not_selected", f"pool {to_pool.name} does not take it")
     moving_out = sum(
         1
-        for name in state.down_by_pool[from_pool.name]
+        for name in state.down_vms_by_pool[from_pool.name]
         if is_moving(state.get("permit", name))
     )
     if len(state.vms_by_pool[from_pool.name]) - moving_out <= from_pool.floor:
--- a/hingepitch/model/state.py
+++ b/hingepitch/model/state.py
@@ -32,8 +32,8 @@
 #: Changes kept in a feed; a follower that is further behind gets all records.
 MAX_FEED_CHANGES = 50_000
 
-#: Errors raised by a snapshot that another version wrote: parts of other types,
-#: missing parts, or parts that do not fit each other.
+#: Errors that reading a snapshot of another version raises: its parts may be
+#: missing, have other types, or not fit each other.
 SNAPSHOT_ERRORS = (*DECODE_ERRORS, LookupError, AttributeError, ValueError)
 
 
@@ -42,6 +42,10 @@
 
     `kinds`
         The kinds of records whose changes the feed contains.
+    `version`
+        Version of the latest change.
+    `first_version`
+        Lowest version after which the feed still has all changes.
     """
 
     def __init__(self, kinds, version=0):
@@ -74,7 +78,7 @@
 
 
 class State:
-    """All records, with the indices that the rules and the planner use.
+    """All replicated records, with the indices that the rules and the planner use.
 
     `version` is the log index of the last change. Change records only through
     `put` and `drop`, which keep the indices and the feeds up to date.
@@ -91,12 +95,12 @@
         self.now_seconds = 0
         self.outcome_by_command_id = {}
         self.vms_by_pool = Index()
-        self.down_by_pool = Index()
+        self.down_vms_by_pool = Index()
         self.services_by_pool = Index()
         self.jobs_by_vm = Index()
         self.jobs_by_team = Index()
         self.waiting_job_by_name = {}
-        self.waiting_by_team = Index()
+        self.waiting_jobs_by_team = Index()
         self.ended_job_by_name = {}
         self.claims_by_age = deque()
         self.feed_by_name = {
@@ -137,7 +141,7 @@
         if kind == "vm":
             self.vms_by_pool.add(record.pool, key, record)
             if record.life is not VmLifecycle.LIVE:
-                self.down_by_pool.add(record.pool, key, record)
+                self.down_vms_by_pool.add(record.pool, key, record)
         elif kind == "service":
             self.services_by_pool.add(record.pool, key, record)
         elif kind == "job":
@@ -146,7 +150,7 @@
                 self.jobs_by_team.add(record.team, key, record)
             elif record.state is JobState.WAITING:
                 self.waiting_job_by_name[key] = record
-                self.waiting_by_team.add(record.team, key, record)
+                self.waiting_jobs_by_team.add(record.team, key, record)
             else:
                 self.ended_job_by_name[key] = record
         elif kind == "claim" and record.version:
@@ -156,14 +160,14 @@
         """Remove `record` from the indices."""
         if kind == "vm":
             self.vms_by_pool.remove(record.pool, key)
-            self.down_by_pool.remove(record.pool, key)
+            self.down_vms_by_pool.remove(record.pool, key)
         elif kind == "service":
             self.services_by_pool.remove(record.pool, key)
         elif kind == "job":
             self.jobs_by_vm.remove(record.vm, key)
             self.jobs_by_team.remove(record.team, key)
             self.waiting_job_by_name.pop(key, None)
-            self.waiting_by_team.remove(record.team, key)
+            self.waiting_jobs_by_team.remove(record.team, key)
             self.ended_job_by_name.pop(key, None)
 
     def minions(self, service):
@@ -180,7 +184,7 @@
 
     def count_down(self, service):
         """Return the number of VMs of `service` that are not live."""
-        down = self.down_by_pool[service.pool].values()
+        down = self.down_vms_by_pool[service.pool].values()
         return sum(matches(service.selector, vm.labels) for vm in down)
 
     def changes_since(self, feed_name, version):
@@ -215,7 +219,7 @@
         self.version = version
 
     def to_snapshot(self):
-        """Return the encoded state."""
+        """Return the state encoded as msgpack."""
         return ENCODER.encode(
             {
                 "version": self.version,
--- a/hingepitch/planner/program.py
+++ b/hingepitch/planner/program.py
@@ -82,18 +82,18 @@
             self.http.stop()
 
     def run_passes(self):
-        """Run passes until killed, while this planner holds the lease."""
+        """Run planning passes until killed; without the lease, only retry to get it."""
         while True:
             try:
-                if self.hold_lease():
-                    self.make_pass()
+                if self.ensure_lease():
+                    self.run_pass()
                 else:
                     gevent.sleep(self.settings.pass_seconds)
             except HingepitchError as error:
                 log_event("platform_failed", code=error.code, detail=error.detail)
                 gevent.sleep(RETRY_PAUSE_SECONDS)
 
-    def hold_lease(self):
+    def ensure_lease(self):
         """Acquire or renew the planner lease; return whether it is held."""
         seconds = self.settings.lease_seconds
         now = lease_seconds()
@@ -120,26 +120,26 @@
             return
         objects = decode_changes(changes.objects)
         for kind, key, record in objects:
-            self.scope.note_change(self.state, kind, key, record)
+            self.scope.add_pools_of_change(self.state, kind, key, record)
         self.scope.is_full |= changes.full
         self.state.apply_changes(objects, changes.version, changes.full)
         self.version = changes.version
 
     def poll_platform(self, now):
-        """Get a new view of the platform if it is due; return whether it was."""
+        """Get a new view of the platform if one is due; return whether it was due."""
         if now < self.poll_due:
             return False
         before = self.view
         self.view = self.platform.view(before.unhealthy_since_by_vm, now)
-        self.scope.note_view(self.state, before, self.view)
+        self.scope.add_pools_of_view(self.state, before, self.view)
         self.quarantine.count_ended_tasks(self.view.task_by_name, now)
         self.poll_due = now + self.settings.platform_seconds
         return True
 
-    def make_pass(self):
-        """Sync the state, plan once, and execute the steps.
+    def run_pass(self):
+        """Update the copy of the state, plan once, and execute the steps.
 
-        Waits for a change first if the last pass had no steps.
+        If the last pass had no steps, first waits for a change of the state.
         """
         self.sync_state(self.settings.pass_seconds if self.is_idle else 0)
         now = lease_seconds()
@@ -149,7 +149,7 @@
         self.pass_seconds = lease_seconds() - started
         self.metrics.observe("pass_seconds", "Time of planning.", self.pass_seconds)
         for step in steps:
-            self.carry_out(step)
+            self.execute_step(step)
         self.is_idle = not steps
 
     def plan(self, now, polled):
@@ -157,7 +157,7 @@
         if now >= self.full_pass_due:
             self.scope.is_full = True
             self.full_pass_due = now + self.settings.full_pass_seconds
-        pools = self.scope.take(self.state)
+        pools = self.scope.pop_pools(self.state)
         is_quarantined = partial(self.quarantine.is_quarantined, now=now)
         lost_after = self.settings.lost_after_seconds
         yield from plan_health(self.state, self.view, now, lost_after)
@@ -174,10 +174,10 @@
         self.renewal_due = now + TASK_LEASE_SECONDS * RENEW_FRACTION
         return True
 
-    def carry_out(self, step):
+    def execute_step(self, step):
         """Execute one step; a failure is logged and does not stop the others."""
         try:
-            self.executor.carry_out(step)
+            self.executor.execute_step(step)
         except HingepitchError as error:
             self.scope.is_full = True
             log_event("platform_failed", step=repr(step), detail=error.detail)
--- a/standin/faults.py
+++ b/standin/faults.py
@@ -633,7 +633,7 @@
         (
             (
                 "control/replica.py",
-                'self.note_unread(f"entry {entry.index}", error)',
+                'self.stop_applying(f"entry {entry.index}", error)',
                 "self.applied_index = entry.index",
             ),
         ),
@@ -914,9 +914,9 @@
             (
                 "control/replica.py",
                 """            except Exception as error:
-                self.note_storage_fault(f""",
+                self.handle_storage_fault(f""",
                 """            except ZeroDivisionError as error:
-                self.note_storage_fault(f""",
+                self.handle_storage_fault(f""",
             ),
         ),
         "outlives_any_error",
--- a/tests/fleet_driver.py
+++ b/tests/fleet_driver.py
@@ -152,7 +152,7 @@
         self.fence = lease.fence
         view = self.platform.view()
         self.apply_changes(view)
-        pools = self.scope.take(self.copy)
+        pools = self.scope.pop_pools(self.copy)
         steps = [
             *plan_health(self.copy, view, 10.0, 1.0),
             *plan_drains(self.copy, view),
@@ -170,9 +170,9 @@
         version, full, changes = self.state.changes_since("planning", self.copy.version)
         self.scope.is_full |= full
         for change in changes:
-            self.scope.note_change(self.copy, *change)
+            self.scope.add_pools_of_change(self.copy, *change)
         self.copy.apply_changes(changes, version, full)
-        self.scope.note_view(self.copy, self.view, view)
+        self.scope.add_pools_of_view(self.copy, self.view, view)
         self.view = view
 
     def carry_out(self, step):
--- a/tests/order_world.py
+++ b/tests/order_world.py
@@ -310,7 +310,7 @@
             raise HingepitchError("lost_leadership")
         return outcome
 
-    def confirm(self):
+    def confirm_leadership(self):
         term = self.core.term
         gevent.sleep(self.world.network.brief())
         if not self.is_leader or self.world.term != term or self.world.is_deposing:
--- a/tests/test_any_folder.py
+++ b/tests/test_any_folder.py
@@ -89,7 +89,7 @@
 
 def check(opened, identity):
     """Check that the replica kept its identity or quarantined the log."""
-    assert not opened.unread
+    assert not opened.read_fault
     if opened.storage.quarantine_reason:
         assert opened.core.identity.startswith("c1~")
         assert not opened.core.voters
--- a/tests/test_daemon_components.py
+++ b/tests/test_daemon_components.py
@@ -99,7 +99,7 @@
     assert not roster.is_in_force(["e1"], 5, 102.0)
     assert roster.is_in_force(["e1"], 5, 103.2)
     roster.record_report("e1", 5, {})
-    roster.grant("e1", 103.2)
+    roster.renew_lease("e1", 103.2)
     assert roster.is_in_force(["e1"], 5, 103.3)
     assert not roster.is_in_force(["e1"], 6, 103.3)
 
@@ -110,7 +110,7 @@
     assert not roster.is_drained(["e1"], "v", 5, 104.0, 2.0)
     assert roster.is_drained(["e1"], "v", 5, 105.2, 2.0)
     roster.record_report("e1", 5, {"v": 1})
-    roster.grant("e1", 106.0)
+    roster.renew_lease("e1", 106.0)
     assert not roster.is_drained(["e1"], "v", 5, 106.1, 2.0)
     roster.record_report("e1", 5, {})
     assert roster.is_drained(["e1"], "v", 5, 106.1, 2.0)
@@ -194,6 +194,6 @@
         return {"version": 1}
 
     monkeypatch.setattr(client, "call_replica", call_replica)
-    monkeypatch.setattr(admin_client, "PAUSE_SECONDS", 0.0)
+    monkeypatch.setattr(admin_client, "RETRY_PAUSE_SECONDS", 0.0)
     assert client.command(put={}) == {"version": 1}
     assert len(asked) == len(codes) + 1
--- a/tests/test_disk_states.py
+++ b/tests/test_disk_states.py
@@ -388,7 +388,7 @@
 
     def write_installed(self, snapshot):
         """Write an installed snapshot."""
-        self.audit.skip_to(snapshot.index)
+        self.audit.record_missing_up_to(snapshot.index)
         self.write_snapshot(snapshot, ())
 
     @rule(fault=faults_after(FEW_CALLS), faults=faults_at_open)
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -55,7 +55,7 @@
         self.changed.set()
         self.changed = Event()
 
-    def confirm(self):
+    def confirm_leadership(self):
         if not self.is_leader:
             raise HingepitchError("not_leader")
 
@@ -324,7 +324,7 @@
     assert wait_until(lambda: here.dispatcher.session is not None, SECONDS)
     session = here.dispatcher.session
     session.confirmed_at = -1e9
-    here.replica.confirm = lambda: gevent.sleep(60)
+    here.replica.confirm_leadership = lambda: gevent.sleep(60)
     assert wait_until(lambda: not session.may_order(), SECONDS)
     here.submit(Step(1))
     gevent.sleep(0.5)
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -73,7 +73,7 @@
     assert again.by_kind == driver.state.by_kind
     assert again.to_snapshot() == driver.state.to_snapshot()
     assert again.jobs_by_team == driver.state.jobs_by_team
-    assert again.down_by_pool == driver.state.down_by_pool
+    assert again.down_vms_by_pool == driver.state.down_vms_by_pool
 
 
 class Fleet:
--- a/tests/test_many_queues.py
+++ b/tests/test_many_queues.py
@@ -58,7 +58,7 @@
 
 def ask_pending(log):
     """Request the number of pending jobs of the fourth queue."""
-    replica = SimpleNamespace(state=log.state, confirm=lambda: None)
+    replica = SimpleNamespace(state=log.state, confirm_leadership=lambda: None)
     service = JobService(replica, MinionRoster(), None, "test")
     assert service.answer(AskPending(HOST, "/q3/")) == 0
 
--- a/tests/test_snapshot_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -147,7 +147,7 @@
     def __init__(self):
         self.received = []
         replica = SimpleNamespace(
-            is_open=False, unread="not open", receive=self.received.append
+            is_open=False, read_fault="not open", receive=self.received.append
         )
         self.handler = ControlHandler(replica, None, None)
 
--- a/tests/test_start_stays.py
+++ b/tests/test_start_stays.py
@@ -85,7 +85,7 @@
     monkeypatch.setattr(JobTable, "from_content", fail)
     again = make_replica(folder)
     again.open()
-    assert "a fault of the program" in again.unread
+    assert "a fault of the program" in again.read_fault
     assert again.core.voters == ["c1"]
     again.close()
 
@@ -98,7 +98,7 @@
         replica.check_read()
     assert caught.value.code == "lost_leadership"
     with pytest.raises(HingepitchError) as caught:
-        replica.confirm()
+        replica.confirm_leadership()
     assert caught.value.code == "not_leader"
     for _ in range(3):
         replica.receive(None)
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -69,7 +69,7 @@
     assert wait_until(lambda: harness.dispatcher.session is not None, SECONDS)
     session = harness.dispatcher.session
     assert wait_until(session.may_order, SECONDS)
-    harness.replica.confirm = lambda: gevent.sleep(60)
+    harness.replica.confirm_leadership = lambda: gevent.sleep(60)
     harness.replica.is_leader = True
     suspend(5.0)
     assert not session.may_order()
--- a/tests/test_unread_entry.py
+++ b/tests/test_unread_entry.py
@@ -185,7 +185,7 @@
     leader.propose(put("first"))
     leader.propose(put(f"{LATER}-1"))
     earlier = group.node_by_name["c"]
-    group.wait(lambda: earlier.replica.unread)
+    group.wait(lambda: earlier.replica.read_fault)
     # From here on, a quorum needs the vote and the disk of c.
     group.stop("a")
     group.wait(lambda: group.leader() is group.node_by_name["b"].replica)
@@ -219,14 +219,14 @@
     assert group.node_by_name["a"].is_running
     assert pools(group.leader()) == {f"{LATER}-1"}
     with pytest.raises(HingepitchError):
-        earlier.confirm()
+        earlier.confirm_leadership()
 
 
 def test_a_replica_with_an_unread_entry_answers_no_reads(make_group):
     group = make_group(a=Replica, b=Replica, c=EarlierReplica)
     group.lead("a").propose(put(f"{LATER}-1"))
     earlier = group.node_by_name["c"].replica
-    group.wait(lambda: earlier.unread)
+    group.wait(lambda: earlier.read_fault)
     handler = ControlHandler(earlier, None, None)
     with pytest.raises(HingepitchError) as caught:
         handler.watch(0, 0)
@@ -240,8 +240,10 @@
     leader = group.lead("a")
     for payload in (b"\xc1", b"\x78\x9c", b"\x91" * 100_000):
         leader.admission.put("lane", PendingCommand(payload, AsyncResult()))
-    leader.arrived.set()
-    group.wait(lambda: all(node.replica.unread for node in group.node_by_name.values()))
+    leader.wakeup.set()
+    group.wait(
+        lambda: all(node.replica.read_fault for node in group.node_by_name.values())
+    )
     assert all(node.is_running for node in group.node_by_name.values())
 
 
@@ -257,7 +259,7 @@
     with pytest.raises(HingepitchError):
         leader.propose(put("x"))
     assert group.node_by_name["a"].is_running
-    assert "ZeroDivisionError" in leader.unread
+    assert "ZeroDivisionError" in leader.read_fault
     assert not leader.storage.snapshot.index
 
 
@@ -299,14 +301,14 @@
     leader.send_snapshot(SimpleNamespace(receiver="c", term=leader.core.term))
     leader.applied_index = whole.index
     group.wait(lambda: earlier.replica.storage.snapshot.index == index)
-    group.wait(lambda: earlier.replica.unread)
+    group.wait(lambda: earlier.replica.read_fault)
     assert earlier.is_running
     # The same holds after a restart.
     group.stop("c")
     group.start("c")
     earlier = group.node_by_name["c"]
     assert earlier.replica.storage.snapshot.state == state
-    assert earlier.replica.unread
+    assert earlier.replica.read_fault
     for _ in range(MANY_TICKS):
         group.tick()
         assert not earlier.replica.is_leader
--- a/tests/test_unreadable_answers.py
+++ b/tests/test_unreadable_answers.py
@@ -102,7 +102,7 @@
 
 
 class ReloadingProgram(reload.SettingsReloadMixin):
-    book = PeerRegistryStub()
+    peer_registry = PeerRegistryStub()
 
 
 VALID_SETTINGS = """
@@ -126,7 +126,9 @@
     reloading = gevent.spawn(program.reload)
     gevent.sleep(0)
     path.write_text(VALID_SETTINGS)
-    assert wait_until(lambda: program.book.seeds == ["10.0.0.9:7000"], TIMEOUT_SECONDS)
+    assert wait_until(
+        lambda: program.peer_registry.seeds == ["10.0.0.9:7000"], TIMEOUT_SECONDS
+    )
     reloading.get(timeout=TIMEOUT_SECONDS)
 
 
