--- a/standin/powerdisk.py
+++ b/standin/powerdisk.py
@@ -2,8 +2,9 @@
 standin.powerdisk
 ~~~~~~~~~~~~~~~~~
 
-A disk that loses power: it keeps what a sync covered, and of the rest what
-chance leaves. It also refuses calls, half-way or as a whole.
+Simulates a disk whose power fails. Synced data survives a power loss; unsynced
+writes and name changes survive, vanish or are torn at random. The disk can also
+refuse calls, before or in the middle of a write.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -29,22 +30,24 @@
     "lose_power",
 ]
 
-#: Unit in which a torn write comes apart, in bytes. Source: the page of the
-#: system's file cache.
+#: Size of the blocks that a torn write is split into, in bytes: the page size of
+#: the operating system's file cache.
 BLOCK_BYTES = 4096
 
-#: Share of the losses that take every write, or every change of a name, that no
-#: sync covers. Source: often enough for each kind in a few tens of losses.
-TAKES_ALL_SHARE = 0.25
+#: Probability that a power loss discards all unsynced writes, and separately that
+#: it discards all unsynced name changes; high enough that a few tens of losses
+#: include each kind several times.
+DISCARD_ALL_PROBABILITY = 0.25
 
-#: What a loss may leave of one write: nothing of it, its begin, whole blocks,
-#: pieces cut anywhere, or its length only.
-FATES = ("present", "absent", "cut", "blocks", "pieces", "length")
+#: What a power loss may leave of one write: all of it (present), nothing, its
+#: beginning (cut), some whole blocks, some pieces of any size, or its length filled
+#: with zero bytes.
+WRITE_OUTCOMES = ("present", "absent", "cut", "blocks", "pieces", "length")
 
-#: Calls that change the disk, and so may be refused.
+#: Names of the calls that change the disk; a `PowerDisk` can refuse each.
 CALL_NAMES = ("create", "write", "truncate", "sync", "rename", "remove", "sync_folder")
 
-#: Calls that a full disk refuses.
+#: Names of the calls that a full disk refuses.
 GROWING_NAMES = ("create", "write")
 
 
@@ -56,12 +59,12 @@
     `path`
         Path of the file or folder.
     `offset`
-        Of a write: where it begins; of a truncation: the new size; of a
-        creation: the size that was found, or -1 if there was no file.
+        Write: offset of its first byte. Truncation: the new size. Creation: the
+        size of the existing file, or -1 if there was none.
     `data`
-        Of a write.
+        Write: the bytes written.
     `other`
-        Of a rename: the new path.
+        Rename: the new path.
     """
 
     name: str
@@ -72,25 +75,25 @@
 
 
 @dataclass(eq=False, slots=True)
-class Content:
-    """What a file holds, whatever its name.
+class FileContent:
+    """Content of a file, independent of its name.
 
     `durable`
-        What the last sync covered.
+        Content at the last sync.
     `pending`
-        The writes and truncations since.
+        Writes and truncations since the last sync.
     """
 
     durable: bytearray = field(default_factory=bytearray)
     pending: list[Call] = field(default_factory=list)
 
     def sync(self):
-        """Make all that was written durable."""
-        change(self.durable, self.pending)
+        """Make all pending writes and truncations durable."""
+        apply_calls(self.durable, self.pending)
         self.pending.clear()
 
     def size(self):
-        """Return the size that the running system sees, in bytes."""
+        """Return the file's size as processes see it, in bytes."""
         size = len(self.durable)
         for call in self.pending:
             if call.name == "truncate":
@@ -100,16 +103,19 @@
         return size
 
     def after_loss(self, rng):
-        """Return what is left if each change is kept, taken or torn by chance."""
+        """Return the content after a power loss, with random unsynced changes lost."""
         data = self.durable.copy()
-        change(data, left_of(self.pending, rng))
+        apply_calls(data, left_of(self.pending, rng))
         return bytes(data)
 
-    def forget_beyond(self, size):
-        """Drop what was noted and not done: a kill came in between.
+    def drop_unexecuted(self, size):
+        """Drop recorded writes that were never carried out.
+
+        A process that is killed between recording a write and making it leaves
+        such a record.
 
         `size`
-            What the system found afterwards, in bytes.
+            Actual size of the file when it was opened again, in bytes.
         """
         while self.pending and self.size() > size:
             last = self.pending.pop()
@@ -118,8 +124,8 @@
                 self.pending.append(Call("write", last.path, last.offset, data))
 
 
-def change(data, calls):
-    """Carry writes and truncations out on the bytearray `data`."""
+def apply_calls(data, calls):
+    """Apply writes and truncations to the bytearray `data`."""
     for call in calls:
         end = call.offset + len(call.data)
         data += bytes(max(0, end - len(data)))
@@ -130,54 +136,54 @@
 
 
 class PowerModel:
-    """What one data folder holds, now and after a loss of power.
+    """Model of the files in one data folder, before and after a power loss.
 
     `content_by_path`
-        The files as the running system sees them.
+        The files as processes see them.
     `durable_by_path`
-        The files by the names that would surely be there.
+        The files under the names that survive a power loss.
     `pending_names`
-        New names, renames and removals that no sync covers, in their order:
-        `(call, content)`.
+        Creations, renames and removals that no folder sync covers, in their
+        order: `(call, content)`.
     """
 
     def __init__(self, data_by_path=None):
         self.content_by_path = {
-            path: Content(bytearray(data))
+            path: FileContent(bytearray(data))
             for path, data in (data_by_path or {}).items()
         }
         self.durable_by_path = dict(self.content_by_path)
         self.pending_names = []
 
     def take(self, call):
-        """Take note of a call."""
+        """Apply a call that was made on the disk."""
         getattr(self, f"take_{call.name}")(call)
 
     def take_create(self, call):
-        """A file was opened, and made unless it was there."""
+        """Apply the opening of a file, which creates it if it does not exist."""
         if call.path in self.content_by_path:
-            self.content_by_path[call.path].forget_beyond(call.offset)
+            self.content_by_path[call.path].drop_unexecuted(call.offset)
             return
-        content = self.content_by_path[call.path] = Content()
+        content = self.content_by_path[call.path] = FileContent()
         self.pending_names.append((call, content))
 
     def take_write(self, call):
-        """Data was written that no sync covers yet."""
+        """Apply a write or truncation, pending until the next sync."""
         self.content_by_path[call.path].pending.append(call)
 
     take_truncate = take_write
 
     def take_sync(self, call):
-        """What a file holds is durable; its name, if it is new, is not yet.
+        """Make a file's content durable; the name of a new file stays pending.
 
-        Some disks keep the name with the file; a folder that holds on all of
-        them syncs its names too.
+        Some file systems make the name durable with the file, but not all do: a
+        program that must work on each also syncs the folder.
         """
         content = self.content_by_path[call.path]
         content.sync()
 
     def take_rename(self, call):
-        """A file has another name until a loss of power, and perhaps after."""
+        """Apply a rename, which a power loss may undo until the folder is synced."""
         content = self.content_by_path.pop(call.path, None)
         if content is None:
             return
@@ -185,21 +191,21 @@
         self.pending_names.append((call, content))
 
     def take_remove(self, call):
-        """A file is gone until a loss of power, and perhaps after."""
+        """Apply a removal, which a power loss may undo until the folder is synced."""
         content = self.content_by_path.pop(call.path, None)
         if content is not None:
             self.pending_names.append((call, content))
 
     def take_sync_folder(self, call):
-        """The names in a folder are durable."""
+        """Make the names in a folder durable."""
         folder = call.path
-        for one in list(self.pending_names):
-            if os.path.dirname(one[0].path) == folder:
-                self.pending_names.remove(one)
-                self.keep_name(self.durable_by_path, *one)
+        for name_change in list(self.pending_names):
+            if os.path.dirname(name_change[0].path) == folder:
+                self.pending_names.remove(name_change)
+                self.apply_name_change(self.durable_by_path, *name_change)
 
-    def keep_name(self, names, call, content):
-        """Carry a change of a name out on `names`."""
+    def apply_name_change(self, names, call, content):
+        """Apply a creation, rename or removal to `names`, content by path."""
         if call.name == "create":
             names[call.path] = content
             return
@@ -208,118 +214,127 @@
         if call.name == "rename":
             names[call.other] = content
 
-    def lose(self, rng):
-        """Return the files after a loss of power: data by path.
+    def files_after_loss(self, rng):
+        """Return the files that a power loss leaves: data by path.
 
-        Some losses take all writes that no sync covers, some all changes of
-        names; otherwise each is kept, taken or, a write, torn on its own.
+        Some losses discard all unsynced writes, and some discard all unsynced
+        name changes. Otherwise each write is kept, discarded or torn on its own,
+        and each name change is kept or discarded on its own.
         """
-        takes_names = rng.random() < TAKES_ALL_SHARE
-        takes_writes = rng.random() < TAKES_ALL_SHARE
+        discards_names = rng.random() < DISCARD_ALL_PROBABILITY
+        discards_writes = rng.random() < DISCARD_ALL_PROBABILITY
         names = dict(self.durable_by_path)
         for call, content in self.pending_names:
-            if not takes_names and rng.random() < 0.5:
-                self.keep_name(names, call, content)
+            if not discards_names and rng.random() < 0.5:
+                self.apply_name_change(names, call, content)
         return {
-            path: bytes(content.durable) if takes_writes else content.after_loss(rng)
+            path: bytes(content.durable) if discards_writes else content.after_loss(rng)
             for path, content in names.items()
         }
 
 
 def left_of(calls, rng):
-    """Yield what a loss of power leaves of writes that no sync covers."""
+    """Yield the parts of unsynced writes and truncations that survive a power loss."""
     for call in calls:
-        fate = rng.choice(FATES)
-        if fate == "absent":
+        outcome = rng.choice(WRITE_OUTCOMES)
+        if outcome == "absent":
             continue
-        if call.name == "truncate" or fate == "present":
+        if call.name == "truncate" or outcome == "present":
             yield call
-        elif fate == "length":
-            yield part_of(call, 0, len(call.data), bytes(len(call.data)))
+        elif outcome == "length":
+            yield partial_write(call, 0, len(call.data), bytes(len(call.data)))
         else:
-            yield from parts_of(call, fate, rng)
+            yield from torn_parts(call, outcome, rng)
+
 
+def partial_write(call, start, end, data=None):
+    """Return the part of a write from byte `start` to `end`, as a write.
 
-def part_of(call, start, end, data=None):
-    """Return the bytes from `start` to `end` of a write, as a write."""
+    `data`
+        Bytes that replace those of the write; None: the write's own.
+    """
     data = call.data[start:end] if data is None else data
     return Call("write", call.path, call.offset + start, data)
 
 
-def parts_of(call, fate, rng):
-    """Yield some parts of a write that was torn, as writes of their own."""
+def torn_parts(call, outcome, rng):
+    """Yield the parts that survive of a torn write, each as a write."""
     size = len(call.data)
-    if fate == "cut":
-        yield part_of(call, 0, rng.randrange(size + 1))
+    if outcome == "cut":
+        yield partial_write(call, 0, rng.randrange(size + 1))
         return
-    if fate == "blocks":
+    if outcome == "blocks":
         edges = block_edges(call)
     else:
         edges = sorted([0, rng.randrange(size + 1), rng.randrange(size + 1), size])
     for start, end in pairwise(edges):
         if rng.random() < 0.5:
-            yield part_of(call, start, end)
+            yield partial_write(call, start, end)
 
 
 def block_edges(call):
-    """Return where the blocks of the file begin and end within a write."""
+    """Return the offsets within a write at which the file's blocks begin and end."""
     size = len(call.data)
     first = BLOCK_BYTES - call.offset % BLOCK_BYTES
     return [0, *range(first, size, BLOCK_BYTES), size]
 
 
-class NotingFile(DiskFile):
-    """A file whose calls are noted."""
+class RecordingFile(DiskFile):
+    """A file that passes each call that changes it to `record`."""
 
-    def __init__(self, path, note):
-        self.note = note
+    def __init__(self, path, record):
+        self.record = record
         size = os.stat(path).st_size if os.path.exists(path) else -1
-        note(Call("create", str(path), size))
+        record(Call("create", str(path), size))
         super().__init__(path)
 
     def write(self, data):
-        """Append `data`; what is noted but not done would come again."""
-        self.note(Call("write", str(self.path), self.size, bytes(data)))
+        """Append `data`; return how many of its bytes were written.
+
+        The call is recorded before it is made, so a kill in between leaves a record
+        of a write that did not happen; `drop_unexecuted` removes it.
+        """
+        self.record(Call("write", str(self.path), self.size, bytes(data)))
         return super().write(data)
 
     def truncate(self, size):
-        """Cut the file."""
-        self.note(Call("truncate", str(self.path), size))
+        """Cut the file to `size` bytes."""
+        self.record(Call("truncate", str(self.path), size))
         super().truncate(size)
 
     def sync(self):
-        """Sync the file; noted only once it has returned."""
+        """Sync the file; recorded only after it has succeeded."""
         super().sync()
-        self.note(Call("sync", str(self.path)))
+        self.record(Call("sync", str(self.path)))
 
 
 class NotingDisk(Disk):
-    """The file system, with each call that changes it passed to `note`."""
+    """The file system; passes each call that changes it to `record`."""
 
-    def __init__(self, note):
-        self.note = note
+    def __init__(self, record):
+        self.record = record
 
     def open(self, path):
         """Return the file at `path`."""
-        return NotingFile(path, self.note)
+        return RecordingFile(path, self.record)
 
     def rename(self, old, new):
         """Rename a file."""
-        self.note(Call("rename", str(old), other=str(new)))
+        self.record(Call("rename", str(old), other=str(new)))
         super().rename(old, new)
 
     def remove(self, path):
         """Remove a file."""
-        self.note(Call("remove", str(path)))
+        self.record(Call("remove", str(path)))
         super().remove(path)
 
     def sync_folder(self, path):
-        """Sync a folder; noted only once it has returned."""
+        """Sync a folder; recorded only after it has succeeded."""
         super().sync_folder(path)
-        self.note(Call("sync_folder", str(path)))
+        self.record(Call("sync_folder", str(path)))
 
 
-class PowerFile(NotingFile):
+class PowerFile(RecordingFile):
     """A file on a `PowerDisk`."""
 
     def __init__(self, path, disk):
@@ -328,7 +343,7 @@
         super().__init__(path, disk.take)
 
     def write(self, data):
-        """Append `data`, or a part of it if the call is refused half-way."""
+        """Append `data`; a refused call may still append its beginning."""
         try:
             self.disk.check("write")
         except OSError:
@@ -339,28 +354,28 @@
         return super().write(data)
 
     def truncate(self, size):
-        """Cut the file."""
+        """Cut the file to `size` bytes."""
         self.disk.check("truncate")
         super().truncate(size)
 
     def sync(self):
-        """Count what was written as synced; the true disk need not be waited for."""
+        """Mark the file's content as synced, without a sync of the real disk."""
         self.disk.check("sync")
-        self.note(Call("sync", str(self.path)))
+        self.record(Call("sync", str(self.path)))
 
 
 @dataclass(slots=True)
 class Refusal:
-    """Calls that a disk refuses.
+    """Selects the calls that a `PowerDisk` refuses.
 
     `after`
-        So many of the calls named go well before that.
+        Number of calls in `names` that succeed first.
     `count`
-        So many are refused then; None: all of them.
+        Number of calls that are then refused; None: all later ones.
     `names`
-        Names of calls.
+        Names of the calls that can be refused.
     `part`
-        Part of a write that is done before it is refused, from 0 to 1.
+        Fraction of a refused write that is still carried out, from 0 to 1.
     """
 
     after: int = 0
@@ -370,12 +385,12 @@
 
 
 class PowerDisk(NotingDisk):
-    """A disk within one process that can lose power, and refuse calls.
+    """A disk for one process that can lose power and refuse calls.
 
     `folder`
-        The data folder; what is in it now counts as synced.
+        The data folder; its present files count as synced.
     `calls`
-        The calls so far that changed the disk.
+        Number of calls so far that changed the disk.
     """
 
     def __init__(self, folder):
@@ -384,18 +399,16 @@
         super().__init__(self.take)
 
     def restore(self, data_by_path):
-        """Begin anew with these files, all synced, and with power."""
+        """Start over with these files, all synced, with power and no refusals."""
         self.model = PowerModel(data_by_path)
         self.calls = 0
-        self.calls_left = None
+        self.calls_until_loss = None
         self.refusal = None
 
     @property
     def has_power(self):
-        """Whether the power is there."""
-        return self.calls_left is None or self.calls_left > 0
-
-    # Calls.
+        """Whether the power is on."""
+        return self.calls_until_loss is None or self.calls_until_loss > 0
 
     def open(self, path):
         """Return the file at `path`."""
@@ -412,12 +425,15 @@
         super().remove(path)
 
     def sync_folder(self, path):
-        """Count the names in a folder as synced."""
+        """Mark the names in a folder as synced, without a sync of the real disk."""
         self.check("sync_folder")
-        self.note(Call("sync_folder", str(path)))
+        self.record(Call("sync_folder", str(path)))
 
     def check(self, name):
-        """Raise `OSError` if a call is refused; nothing of it is done."""
+        """Raise `OSError` (ENOSPC) if the next call of that name is refused.
+
+        The caller checks before it carries the call out.
+        """
         refusal = self.refusal
         if refusal is None or name not in refusal.names:
             return
@@ -431,75 +447,79 @@
         raise OSError(errno.ENOSPC, f"{name} is refused")
 
     def take(self, call):
-        """Take note of a call; raise `OSError` once the power is lost.
+        """Record a call; raise `OSError` (EIO) once the power is lost.
 
-        The last call before that is under way: nobody hears how it went.
+        The power fails during the last call: it is recorded, unless it is a sync,
+        and still raises the error, so that its caller does not know the outcome.
         """
         self.calls += 1
-        if self.calls_left is None:
+        if self.calls_until_loss is None:
             self.model.take(call)
             return
-        self.calls_left -= 1
+        self.calls_until_loss -= 1
         is_sync = call.name in ("sync", "sync_folder")
-        if self.calls_left > 0 or (self.calls_left == 0 and not is_sync):
+        if self.calls_until_loss > 0 or (self.calls_until_loss == 0 and not is_sync):
             self.model.take(call)
-        if self.calls_left <= 0:
-            raise OSError(errno.EIO, "the power is lost")
+        if self.calls_until_loss <= 0:
+            raise OSError(errno.EIO, "the disk has no power")
 
     def clear(self):
-        """Empty the folder."""
+        """Remove all files from the folder."""
         write_folder(self.folder, {})
         self.restore({})
 
-    # Troubles.
-
     def refuse(self, refusal):
-        """Refuse calls from now on, as a `Refusal` says; None: no more."""
+        """Refuse the calls that a `Refusal` selects; None: refuse no calls."""
         self.refusal = refusal
 
     def lose_power_after(self, calls):
-        """Have the power lost in the call after so many more; None: not at all."""
-        self.calls_left = None if calls is None else calls + 1
+        """Make the power fail during the call that follows the next `calls` calls.
+
+        None: the power stays on.
+        """
+        self.calls_until_loss = None if calls is None else calls + 1
 
     def lose_power(self, rng):
-        """Leave in the folder what a loss of power leaves."""
-        left = self.model.lose(rng)
+        """Replace the files in the folder by those that a power loss leaves."""
+        left = self.model.files_after_loss(rng)
         write_folder(self.folder, left)
         self.restore(left)
 
 
 class JournalDisk(NotingDisk):
-    """The disk of a process of its own: its calls are written to a journal.
+    """A disk that writes its calls to a journal, for a process that is killed.
+
+    After the kill, `lose_power` reads the journal to simulate a power loss.
 
     `journal`
-        Path of the journal, outside the data folder; it survives a kill.
+        Path of the journal, outside the data folder.
     """
 
     def __init__(self, journal):
         flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
         self.descriptor = os.open(journal, flags, 0o644)
-        super().__init__(self.write_down)
+        super().__init__(self.record_call)
 
-    def write_down(self, call):
+    def record_call(self, call):
         """Append a call to the journal."""
         body = msgspec.msgpack.encode(call)
         os.write(self.descriptor, len(body).to_bytes(4, "big") + body)
 
 
 def read_journal(journal):
-    """Yield the calls of a journal."""
+    """Yield the calls in a journal file, if it exists."""
     data = Path(journal).read_bytes() if Path(journal).exists() else b""
-    at = 0
-    while at + 4 <= len(data):
-        end = at + 4 + int.from_bytes(data[at : at + 4], "big")
+    offset = 0
+    while offset + 4 <= len(data):
+        end = offset + 4 + int.from_bytes(data[offset : offset + 4], "big")
         if end > len(data):
-            return  # Its process was killed in the midst: the call was not made.
-        yield msgspec.msgpack.decode(data[at + 4 : end], type=Call)
-        at = end
+            return  # Killed while it wrote this record: the call was not made.
+        yield msgspec.msgpack.decode(data[offset + 4 : end], type=Call)
+        offset = end
 
 
 def read_folder(folder):
-    """Return the files of a folder: data by path."""
+    """Return the files in a folder: data by path; empty if there is no folder."""
     if not Path(folder).exists():
         return {}
     files = (path for path in Path(folder).iterdir() if path.is_file())
@@ -507,7 +527,7 @@
 
 
 def write_folder(folder, data_by_path):
-    """Make a folder hold just these files."""
+    """Replace all files in a folder, created if absent, by the given ones."""
     Path(folder).mkdir(parents=True, exist_ok=True)
     for path in Path(folder).iterdir():
         if path.is_file():
@@ -517,20 +537,24 @@
 
 
 def lose_power(folder, journal, base, rng):
-    """Leave in `folder` what a loss of power leaves; its process must be dead.
+    """Replace the files in `folder` by those that a power loss leaves.
+
+    The process that uses the folder must have ended.
 
     `journal`
-        The calls since the last loss of power, or since the first start.
+        Path of the journal with the calls since the previous power loss, or since
+        the first start; it is removed.
     `base`
-        Folder that keeps the files as that loss left them.
+        Folder with a copy of the files that the previous power loss left; it gets
+        a copy of those that this one leaves.
     """
     folder, base = Path(folder), Path(base)
-    kept = read_folder(base)
-    start = {str(folder / Path(path).name): data for path, data in kept.items()}
+    saved = read_folder(base)
+    start = {str(folder / Path(path).name): data for path, data in saved.items()}
     model = PowerModel(start)
     for call in read_journal(journal):
         model.take(call)
-    left = model.lose(rng)
+    left = model.files_after_loss(rng)
     write_folder(folder, left)
     write_folder(base, {str(base / Path(path).name): left[path] for path in left})
     Path(journal).unlink(missing_ok=True)
