--- a/standin/crash_faults.py
+++ b/standin/crash_faults.py
@@ -2,7 +2,8 @@
 standin.crash_faults
 ~~~~~~~~~~~~~~~~~~~~
 
-Faults in what bounds the repetition of tasks and the room of minions.
+Planted faults in the limits on repeating tasks that crash minions or end at once,
+and in the checks of minion capacity.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -15,7 +16,7 @@
 CRASH_FAULTS = (
     Fault(
         "at_most_once",
-        "crashes under a task are not counted",
+        "minion crashes under a task are not counted",
         (
             (
                 "jobs/crash.py",
@@ -28,13 +29,13 @@
     ),
     Fault(
         "at_most_once",
-        "crashes under a task are not in snapshots",
+        "minion crashes under a task are missing from snapshots",
         (("jobs/table.py", "            crashes=crashes,\n", ""),),
         "two_crashes_that_nothing_else",
     ),
     Fault(
         "at_most_once",
-        "a leader that watched nobody blames nothing",
+        "a leader that observed no minion suspects no tasks",
         (
             (
                 "jobs/blame.py",
@@ -47,13 +48,13 @@
     ),
     Fault(
         "at_most_once",
-        "lives of one VM are proof",
+        "crashes of several incarnations of one VM are proof",
         (("jobs/crash.py", " and vm not in record.vms", ""),),
         "again_and_again_is_no_proof",
     ),
     Fault(
         "at_most_once",
-        "minions that crash at one moment accuse each a task",
+        "simultaneous crashes of minions each count as caused by one task",
         (
             (
                 "jobs/blame.py",
@@ -71,7 +72,7 @@
     ),
     Fault(
         "at_most_once",
-        "suspects start beside others",
+        "suspected tasks start next to others",
         (
             (
                 "jobs/isolation.py",
@@ -84,7 +85,7 @@
     ),
     Fault(
         "at_most_once",
-        "a suspect waits for good",
+        "a suspected task may wait forever",
         (
             (
                 "jobs/isolation.py",
@@ -96,7 +97,7 @@
     ),
     Fault(
         "at_most_once",
-        "a silent life that answers again stays suspected",
+        "tasks stay suspected after an unresponsive minion answers again",
         (
             (
                 "jobs/crash.py",
@@ -108,7 +109,7 @@
     ),
     Fault(
         "at_most_once",
-        "a task starts though silent lives may exceed its bound",
+        "a task starts although unresponsive minions may exceed its crash limit",
         (
             (
                 "jobs/isolation.py",
@@ -121,7 +122,7 @@
     ),
     Fault(
         "budget",
-        "a start that waited is sent though the room has shrunk",
+        "a delayed start is sent although the free capacity has shrunk",
         (
             (
                 "jobs/session.py",
@@ -133,7 +134,7 @@
     ),
     Fault(
         "budget",
-        "a report that was held back counts under another leader",
+        "a delayed heartbeat overrides a later one under another leader",
         (
             ("jobs/table.py", "minion.sequence < known.sequence:", "False:"),
             ("jobs/service.py", "minion.sequence < known.sequence:", "False:"),
@@ -142,7 +143,7 @@
     ),
     Fault(
         "at_most_once",
-        "a task that ends at once is started at once",
+        "a task that ends at once is restarted without backoff",
         (
             (
                 "jobs/plan.py",
--- a/standin/fault.py
+++ b/standin/fault.py
@@ -2,7 +2,7 @@
 standin.fault
 ~~~~~~~~~~~~~
 
-One fault that is planted in a copy of the code, and the test that must find it.
+A fault to plant in a copy of the code, with the test that must detect it.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -17,10 +17,15 @@
 class Fault:
     """One planted fault.
 
+    `promise`
+        Tag of the promise that the fault breaks.
+    `name`
+        Description of the fault.
     `edits`
-        `(file, old text, new text)`; the old text must be there once.
+        `(file, old text, new text)` of each change; the file is relative to
+        `hingepitch/`, and the old text must occur in it exactly once.
     `test`
-        The expression that selects the test that has to fail.
+        Expression for pytest's `-k` that selects the test that has to fail.
     """
 
     promise: str
--- a/standin/faults.py
+++ b/standin/faults.py
@@ -2,8 +2,10 @@
 standin.faults
 ~~~~~~~~~~~~~~
 
-Planted faults: each breaks one line in a scratch copy of the code, and
-the scenario named with it has to fail there.
+Planted faults: each breaks a temporary copy of the code, in which the test that is
+named with it has to fail.
+
+usage: python -m standin.faults [TEST]
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
@@ -34,31 +36,31 @@
 )
 RUN_SECONDS = 180
 
-#: Faults tried at once; each runs a whole system.
-AT_ONCE = 3
+#: Number of faults tested concurrently; each test may run a complete system.
+CONCURRENT_FAULTS = 3
 
-#: Exit codes of pytest: all passed, some failed.
+#: Exit codes of pytest: all tests passed, some tests failed.
 PASSED = 0
 FAILED = 1
 
 
-#: Without its quorum check, a leader that is cut off stays one; else the
-#: scenario would have to be faster than that check to show the fault.
-LEADER_STAYS = (
+#: Edit that disables the quorum check, so that a disconnected leader does not step
+#: down. With the check, a test shows the fault only if it is faster than the check.
+WITHOUT_QUORUM_CHECK = (
     "control/consensus.py",
     "        if not self.is_quorum([self.identity, *active]):",
     "        if False:",
 )
 
-#: Tests of the data folder.
-ON_A_DISK_WITH_TROUBLES = "on_a_disk_with_troubles"
-SET_ASIDE = "losses_cut_short"
+#: Expressions that select tests of the data folder, for the faults that share one.
+DISK_FAULT_TEST = "on_a_disk_with_troubles"
+QUARANTINE_TEST = "losses_cut_short"
 
 FAULTS = (
     *CRASH_FAULTS,
     Fault(
         "budget",
-        "budgets are not checked",
+        "disruption budgets are not checked",
         (
             (
                 "model/rule.py",
@@ -71,7 +73,7 @@
     ),
     Fault(
         "budget",
-        "an old planner is not fenced, and does not look before it acts",
+        "a planner with an outdated lease is not fenced and checks no budgets",
         (
             ("model/apply.py", "lease.fence != envelope.fence", "False"),
             (
@@ -85,7 +87,7 @@
     ),
     Fault(
         "one_pool",
-        "a move forgets the VM for a while",
+        "a move deletes the record of the VM",
         (
             (
                 "model/rules/maintenance.py",
@@ -97,7 +99,7 @@
     ),
     Fault(
         "whole_answer",
-        "a connection is used again after a time-out",
+        "a connection whose request timed out is reused",
         (
             (
                 "exchange.py",
@@ -114,7 +116,7 @@
     ),
     Fault(
         "not_run",
-        "a failed exchange is called not run",
+        "a request that may have run is reported as not run",
         (
             (
                 "exchange.py",
@@ -131,7 +133,7 @@
     ),
     Fault(
         "at_most_once",
-        "an open claim is given out again",
+        "an open claim is granted again",
         (
             (
                 "model/rules/claim.py",
@@ -144,7 +146,7 @@
     ),
     Fault(
         "at_most_once",
-        "an open claim of a dead entry is given out again",
+        "the open claim of a killed entry is granted again",
         (
             (
                 "model/rules/claim.py",
@@ -157,7 +159,7 @@
     ),
     Fault(
         "leaving",
-        "an entry works on without its lease",
+        "an entry goes on serving without its lease",
         (
             (
                 "entry/follower.py",
@@ -169,7 +171,7 @@
     ),
     Fault(
         "leaving",
-        "a drain does not wait for the entries",
+        "a drain waits for no confirmation by the entries",
         (
             (
                 "control/roster.py",
@@ -194,7 +196,7 @@
     ),
     Fault(
         "planned_stop",
-        "an entry stops without finishing",
+        "an entry stops without finishing its requests in flight",
         (
             (
                 "entry/program.py",
@@ -206,20 +208,20 @@
     ),
     Fault(
         "config",
-        "the leader acknowledges and stays without a quorum",
+        "the leader commits without a quorum and does not step down",
         (
             (
                 "control/consensus.py",
                 "index = matches[len(matches) // 2]",
                 "index = matches[0]",
             ),
-            LEADER_STAYS,
+            WITHOUT_QUORUM_CHECK,
         ),
         "cut_off_silently",
     ),
     Fault(
         "config",
-        "nothing reaches the disk",
+        "writes do not reach the disk",
         (
             (
                 "disk.py",
@@ -231,7 +233,7 @@
     ),
     Fault(
         "config",
-        "a leader reads and stays without a quorum",
+        "a leader serves reads without a quorum and does not step down",
         (
             (
                 "control/consensus.py",
@@ -239,13 +241,13 @@
                 "                ready.append(read)",
                 "            ready.append(read)",
             ),
-            LEADER_STAYS,
+            WITHOUT_QUORUM_CHECK,
         ),
         "asked_for_what",
     ),
     Fault(
         "config",
-        "an emptied folder votes as its old self",
+        "a replica with an emptied folder votes under its old identity",
         (
             (
                 "control/storage.py",
@@ -257,7 +259,7 @@
     ),
     Fault(
         "jobs",
-        "a start without an answer is taken not to have happened",
+        "a start without a reply counts as refused",
         (
             (
                 "jobs/agent.py",
@@ -269,7 +271,7 @@
     ),
     Fault(
         "jobs",
-        "the refusal of one of two orders is taken for both",
+        "a refusal of one of two start orders settles the start",
         (
             (
                 "jobs/agent.py",
@@ -281,7 +283,7 @@
     ),
     Fault(
         "jobs",
-        "a start is ordered again though its job was cancelled",
+        "a start is ordered again although its job was cancelled",
         (
             (
                 "jobs/agent.py",
@@ -294,7 +296,7 @@
     ),
     Fault(
         "config",
-        "a leader counts itself before its own disk has an entry",
+        "a leader counts itself for entries that its own disk lacks",
         (
             (
                 "control/consensus.py",
@@ -306,7 +308,7 @@
     ),
     Fault(
         "config",
-        "a former leader acknowledges what its disk lacks",
+        "a former leader acknowledges entries that its disk lacks",
         (
             (
                 "control/writer.py",
@@ -318,13 +320,13 @@
     ),
     Fault(
         "jobs",
-        "a look that was sent earlier overrules a later one",
+        "the list of an earlier poll overrides that of a later one",
         (("jobs/poller.py", "is_news = sent_at >= self.polled_at", "is_news = True"),),
         "sent_earlier_tells_ends_only",
     ),
     Fault(
         "jobs",
-        "a new leader trusts every recorded run",
+        "a new leader assumes that every recorded run is in progress",
         (
             (
                 "jobs/session.py",
@@ -342,13 +344,13 @@
     ),
     Fault(
         "jobs",
-        "what a silent minion said last is believed",
+        "the last status of an unresponsive minion counts as current",
         (("jobs/watch.py", "if not agent or agent.is_unresponsive:", "if not agent:"),),
         "on_a_silent_minion",
     ),
     Fault(
         "jobs",
-        "a lost look ends the lease of the look before",
+        "one lost status poll lets the lease expire",
         (
             (
                 "jobs/poller.py",
@@ -360,7 +362,7 @@
     ),
     Fault(
         "jobs",
-        "a beat read late makes the next leases shorter",
+        "a heartbeat that is read late shortens the next leases",
         (
             (
                 "jobs/offset.py",
@@ -372,7 +374,7 @@
     ),
     Fault(
         "jobs",
-        "an order under way keeps a run whose lease is over",
+        "a stop in progress keeps a run whose lease has expired",
         (
             (
                 "jobs/poller.py",
@@ -384,7 +386,7 @@
     ),
     Fault(
         "jobs",
-        "a minion that cannot be called ends the session",
+        "a minion with an address that cannot be called ends the session",
         (
             (
                 "jobs/agentregistry.py",
@@ -396,19 +398,19 @@
     ),
     Fault(
         "jobs",
-        "an unknown state makes a minion",
+        "a heartbeat with an unknown state registers a minion",
         (("../platform/adapter/wire.py", 'Literal["ready", "draining"]', "str"),),
         "a_strange_heartbeat_makes",
     ),
     Fault(
         "jobs",
-        "a late heartbeat of an earlier life is believed",
+        "a delayed heartbeat of an earlier incarnation is accepted",
         (("jobs/service.py", "if is_present and self", "if True or self"),),
         "of_an_earlier_life_ends_nothing",
     ),
     Fault(
         "jobs",
-        "a minion that refuses speaks for the life that had its address",
+        "a refusal proves the presence of an earlier incarnation at the address",
         (
             (
                 "jobs/agentregistry.py",
@@ -420,13 +422,13 @@
     ),
     Fault(
         "jobs",
-        "a life whose record takes long ends a later one",
+        "an incarnation that is recorded late ends a later one",
         (("jobs/service.py", "if minion.vm in self.vms_changing:", "if False:"),),
         "recorded_late_ends_no_later_one",
     ),
     Fault(
         "jobs",
-        "a move that was done before ends the life that came by it",
+        "a completed move ends the incarnation that arrived by it",
         (
             (
                 "jobs/mover.py",
@@ -438,7 +440,7 @@
     ),
     Fault(
         "jobs",
-        "a refusal speaks for both orders of a start",
+        "any refusal settles a start that was ordered twice",
         (
             (
                 "jobs/agent.py",
@@ -450,7 +452,7 @@
     ),
     Fault(
         "jobs",
-        "a run that a look does not show is over without a stop",
+        "a run that a poll does not list is ended without a stop",
         (
             (
                 "jobs/poller.py",
@@ -465,7 +467,7 @@
     ),
     Fault(
         "jobs",
-        "a wave that fails ends the session",
+        "an exception in one wave ends the session",
         (
             (
                 "jobs/upkeep.py",
@@ -477,14 +479,14 @@
     ),
     Fault(
         "log",
-        "the log is flushed after each line",
+        "the log is flushed after each line and lets other greenlets run",
         (("app.py", "log_level, buffer.write)", "log_level, buffer)"),)
         + (("logsink.py", "poll_at_once()", '__import__("select").poll()'),),
         "log_line_lets_no_other",
     ),
     Fault(
         "jobs",
-        "draining is taken back by a later message",
+        "a later message takes back a minion's draining",
         (
             (
                 "jobs/table.py",
@@ -496,13 +498,13 @@
     ),
     Fault(
         "jobs",
-        "the life that an upkeep has ended ends it",
+        "the incarnation that maintenance ended completes the maintenance",
         (("jobs/upkeep.py", "if agent.minion.id == before:", "if False:"),),
         "of_the_life_that_an_upkeep_ended",
     ),
     Fault(
         "config",
-        "nothing is sent while the whole state is on its way",
+        "no heartbeats are sent during a snapshot transfer",
         (
             (
                 "control/consensus.py",
@@ -514,7 +516,7 @@
     ),
     Fault(
         "jobs",
-        "a stop that had to wait is not counted again",
+        "a delayed stop is sent without another budget check",
         (
             (
                 "jobs/agent.py",
@@ -526,19 +528,19 @@
     ),
     Fault(
         "jobs",
-        "a task is at work until its end is recorded",
+        "a task counts as at work until its end is recorded",
         (("jobs/watch.py", "or not view or view.has_ended", "or not view"),),
         "whose_end_is_listed",
     ),
     Fault(
         "jobs",
-        "a new leader does not wait for earlier stops",
+        "a new leader does not wait for the stops of earlier leaders",
         (("jobs/watch.py", "if not self.is_settled():", "if False:"),),
         "waits_for_the_stops",
     ),
     Fault(
         "jobs",
-        "tasks start on minions that drain",
+        "tasks are started on draining minions",
         (
             (
                 "jobs/table.py",
@@ -555,19 +557,19 @@
     ),
     Fault(
         "jobs",
-        "a VM is moved with its runs",
+        "a VM that has runs is moved",
         (("jobs/rule.py", 'raise Refusal("not_drained"', 'print("not_drained"'),),
         "with_runs_is_never_moved",
     ),
     Fault(
         "jobs",
-        "each asking for a job is one more log entry",
+        "each concurrent request for a job adds a log entry",
         (("jobs/service.py", "if on_its_way is not None:", "if False:"),),
         "asked_for_again_costs_one_entry",
     ),
     Fault(
         "jobs",
-        "orders that wait for the leader to be confirmed hold the processor",
+        "orders busy-loop while the leadership is not confirmed",
         (
             (
                 "jobs/agent.py",
@@ -580,13 +582,13 @@
     ),
     Fault(
         "jobs",
-        "a VM that is busy is taken for gone though it is listed",
+        "a busy VM counts as gone although the platform lists it",
         (("jobs/upkeep.py", "vm in self.row_by_vm:", "False:"),),
         "may_still_be_there_keeps_its_wave_open",
     ),
     Fault(
         "jobs",
-        "a VM is gone once one list does not name it",
+        "a VM counts as gone once a single list lacks it",
         (
             (
                 "jobs/upkeep.py",
@@ -598,13 +600,13 @@
     ),
     Fault(
         "jobs",
-        "an earlier life that is known late ends an upkeep",
+        "an earlier incarnation that is first seen late completes a maintenance",
         (("jobs/upkeep.py", "NEW_LIFE_PART * self.upkeep_seconds", "0.0"),),
         "back_once_its_next_life_is_known",
     ),
     Fault(
         "jobs",
-        "VMs in upkeep count as present",
+        "VMs in maintenance count as present",
         (
             (
                 "jobs/mover.py",
@@ -617,7 +619,7 @@
     ),
     Fault(
         "config",
-        "an answer without a hint makes the leader forgotten",
+        "an answer without a leader hint discards the known leader",
         (
             (
                 "group.py",
@@ -629,7 +631,7 @@
     ),
     Fault(
         "config",
-        "an entry that cannot be read is passed over",
+        "an unreadable log entry is skipped",
         (
             (
                 "control/replica.py",
@@ -641,7 +643,7 @@
     ),
     Fault(
         "config",
-        "a replica that cannot read an entry serves",
+        "a replica that cannot read a log entry serves as leader",
         (
             (
                 "control/consensus.py",
@@ -653,7 +655,7 @@
     ),
     Fault(
         "config",
-        "a replica that cannot serve keeps what others lack to itself",
+        "a replica that cannot serve never passes on entries that others lack",
         (
             (
                 "control/consensus.py",
@@ -665,7 +667,7 @@
     ),
     Fault(
         "config",
-        "a child that fails often ends its process",
+        "a child that fails often stops the process",
         (
             (
                 "supervisor.py",
@@ -685,11 +687,11 @@
                 "        self.segment.write_all(data)",
             ),
         ),
-        ON_A_DISK_WITH_TROUBLES,
+        DISK_FAULT_TEST,
     ),
     Fault(
         "durable",
-        "what was read is believed without a sync",
+        "entries read from the disk are used without a sync",
         (
             (
                 "control/storage.py",
@@ -701,19 +703,19 @@
     ),
     Fault(
         "durable",
-        "a whole file is not synced before it is renamed",
+        "an atomically written file is not synced before its rename",
         (("durable.py", "        file.sync()\n", ""),),
-        ON_A_DISK_WITH_TROUBLES,
+        DISK_FAULT_TEST,
     ),
     Fault(
         "durable",
         "the folder is not synced after a rename",
         (("durable.py", "    disk.sync_folder(path.parent)", "    pass"),),
-        ON_A_DISK_WITH_TROUBLES,
+        DISK_FAULT_TEST,
     ),
     Fault(
         "durable",
-        "the folder is not synced after a new segment",
+        "the folder is not synced after a segment is created",
         (
             (
                 "control/storage.py",
@@ -721,11 +723,11 @@
                 "segment.size",
             ),
         ),
-        ON_A_DISK_WITH_TROUBLES,
+        DISK_FAULT_TEST,
     ),
     Fault(
         "durable",
-        "the folder is not synced when the identity is set aside",
+        "the folder is not synced after the identity is quarantined",
         (
             (
                 "control/storage.py",
@@ -734,7 +736,7 @@
                 "            self.put_aside(IDENTITY_NAME)\n",
             ),
         ),
-        SET_ASIDE,
+        QUARANTINE_TEST,
     ),
     Fault(
         "durable",
@@ -746,17 +748,17 @@
                 "if False:",
             ),
         ),
-        ON_A_DISK_WITH_TROUBLES,
+        DISK_FAULT_TEST,
     ),
     Fault(
         "durable",
-        "a record may be empty",
+        "an empty record is accepted",
         (("control/batch.py", "not 0 < length <=", "not 0 <= length <="),),
         "left_its_begin",
     ),
     Fault(
         "durable",
-        "each entry of a write has a record of its own",
+        "each entry of a write gets a separate record",
         (
             (
                 "control/storage.py",
@@ -766,11 +768,11 @@
             data += encode_batch(Batch(self.sequence + 1, None, (one,)))""",
             ),
         ),
-        ON_A_DISK_WITH_TROUBLES,
+        DISK_FAULT_TEST,
     ),
     Fault(
         "durable",
-        "any whole record shows that the torn one had been synced",
+        "any complete record behind a torn one shows that it had been synced",
         (
             (
                 "control/batch.py",
@@ -778,11 +780,11 @@
                 "return True",
             ),
         ),
-        ON_A_DISK_WITH_TROUBLES,
+        DISK_FAULT_TEST,
     ),
     Fault(
         "durable",
-        "damage in front of what was synced is cut",
+        "damage in front of synced records is cut off as a torn tail",
         (
             (
                 "control/batch.py",
@@ -794,7 +796,7 @@
     ),
     Fault(
         "durable",
-        "a snapshot is written before the segment that it names",
+        "a snapshot is written before the segment that it refers to",
         (
             (
                 "control/storage.py",
@@ -812,14 +814,14 @@
     ),
     Fault(
         "durable",
-        "segments that a snapshot voided are read",
+        "segments that a snapshot invalidated are read",
         (
             (
                 "control/storage.py",
                 "self.numbers(SEGMENT_NAME) if at >= first]",
                 "self.numbers(SEGMENT_NAME)]",
             ),
-            # Either of the two keeps such entries out.
+            # Each of the two checks alone excludes such entries.
             (
                 "control/storage.py",
                 "            if entry.term < self.snapshot.term:",
@@ -830,13 +832,13 @@
     ),
     Fault(
         "durable",
-        "a torn tail stays",
+        "a torn tail is not cut off",
         (("control/storage.py", "        self.cut(path, end)", "        pass"),),
-        ON_A_DISK_WITH_TROUBLES,
+        DISK_FAULT_TEST,
     ),
     Fault(
         "durable",
-        "the vote is not in the snapshot's segment",
+        "the snapshot's segment lacks the vote",
         (
             (
                 "control/storage.py",
@@ -845,11 +847,11 @@
                 "            self.write(None, entries)\n",
             ),
         ),
-        ON_A_DISK_WITH_TROUBLES,
+        DISK_FAULT_TEST,
     ),
     Fault(
         "durable",
-        "the audit trail is not cut to its mark",
+        "the audit trail is not truncated to its marker",
         (
             (
                 "control/audit.py",
@@ -857,11 +859,11 @@
                 "        pass",
             ),
         ),
-        ON_A_DISK_WITH_TROUBLES,
+        DISK_FAULT_TEST,
     ),
     Fault(
         "durable",
-        "files of the audit trail begun after its mark stay",
+        "audit files begun after the marker are not removed",
         (
             (
                 "control/audit.py",
@@ -873,13 +875,13 @@
     ),
     Fault(
         "durable",
-        "the audit trail is not synced before its mark is written",
+        "the audit trail is not synced before its marker is written",
         (("control/audit.py", "        run_off_loop(self.file.sync)\n", ""),),
-        ON_A_DISK_WITH_TROUBLES,
+        DISK_FAULT_TEST,
     ),
     Fault(
         "durable",
-        "what is left of an old log is taken by a new identity",
+        "a new identity takes over the remains of an old log",
         (
             (
                 "control/storage.py",
@@ -887,11 +889,11 @@
                 "        if self.numbers(SEGMENT_NAME):",
             ),
         ),
-        SET_ASIDE,
+        QUARANTINE_TEST,
     ),
     Fault(
         "durable",
-        "a file is closed before the next one is open",
+        "a segment is closed before the next one is open",
         (
             (
                 "control/storage.py",
@@ -903,7 +905,7 @@
     ),
     Fault(
         "durable",
-        "an unforeseen error of a data folder ends the start",
+        "an unexpected error in a data folder ends the start",
         (
             (
                 "control/replica.py",
@@ -917,13 +919,13 @@
     ),
     Fault(
         "durable",
-        "a replica that is not open keeps the messages of others",
+        "a replica keeps messages that come before its folder is open",
         (("control/replica.py", "        if self.is_open:\n", "        if True:\n"),),
         "not_open_knows_nothing",
     ),
     Fault(
         "durable",
-        "a log without its last segment is believed",
+        "a log without its last segment is accepted",
         (
             (
                 "control/storage.py",
@@ -935,7 +937,7 @@
     ),
     Fault(
         "config",
-        "an older commit reads the log from its end",
+        "a commit index behind the applied one reads the log from its end",
         (
             (
                 "control/replica.py",
@@ -949,7 +951,7 @@
 
 
 def copy_code(folder):
-    """Copy the code as it is now, so that editing may go on."""
+    """Copy the code to `folder`, so that edits during the run change no result."""
     for name in COPIED:
         source = ROOT / name
         if source.is_dir():
@@ -959,7 +961,10 @@
 
 
 def plant(fault, base, folder):
-    """Copy the code in `base` to `folder` with the fault planted."""
+    """Copy the code in `base` to `folder` and apply the edits of `fault` there.
+
+    Exits unless each text to replace occurs exactly once.
+    """
     shutil.copytree(base, folder, dirs_exist_ok=True)
     for name, old, new in fault.edits:
         path = folder / "hingepitch" / name
@@ -970,7 +975,11 @@
 
 
 def run(fault, base):
-    """Return `(caught, line, seconds)` of the test with the fault planted."""
+    """Run the test of a fault with the fault planted.
+
+    Returns `(caught, line, seconds)`: whether the test failed, the first line of its
+    error, and the duration.
+    """
     started = time.monotonic()
     with tempfile.TemporaryDirectory(prefix="hingepitch-fault-") as folder:
         plant(fault, base, Path(folder))
@@ -990,13 +999,16 @@
 
 
 def main():
-    """Plant every fault, or the ones whose test contains the argument."""
+    """Test all faults, or those whose test expression contains the argument.
+
+    The exit code is 1 if a test passes with its fault planted.
+    """
     wanted = sys.argv[1] if len(sys.argv) > 1 else ""
     faults = [fault for fault in FAULTS if wanted in fault.test]
     missed = 0
     with tempfile.TemporaryDirectory(prefix="hingepitch-base-") as base:
         copy_code(Path(base))
-        with ThreadPoolExecutor(AT_ONCE) as pool:
+        with ThreadPoolExecutor(CONCURRENT_FAULTS) as pool:
             results = pool.map(lambda fault: run(fault, Path(base)), faults)
             for fault, (caught, line, seconds) in zip(faults, results, strict=True):
                 missed += not caught
