--- a/hingepitch/jobs/agent.py
+++ b/hingepitch/jobs/agent.py
@@ -38,11 +38,11 @@
 __all__ = ["Agent"]
 
 #: Maximum number of concurrent orders to one minion; each takes a connection.
-ORDERS_AT_ONCE = 2
+MAX_CONCURRENT_ORDERS = 2
 
 #: Timeout of an order, in seconds. After a timeout that was too short, a status
 #: poll settles the outcome.
-ANSWER_SECONDS = 0.4
+ORDER_TIMEOUT_SECONDS = 0.4
 
 #: Replies that settle the outcome of a start that was ordered twice. Any other
 #: refusal applies to only one of the two orders.
@@ -81,7 +81,7 @@
         self.session = session
         self.view_by_task = {}
         self.wake = Event()
-        self.orders = BoundedSemaphore(ORDERS_AT_ONCE)
+        self.orders = BoundedSemaphore(MAX_CONCURRENT_ORDERS)
         self.clock_offset = ClockOffset(session.terms.drift)
         self.lease_expired_at = session.started_at + session.confirmed_expiry_seconds
         self.renewals = RenewalHistory()
@@ -105,7 +105,7 @@
         the session, so that no minion goes without status polls and orders
         unnoticed.
         """
-        for loop in (self.give_orders, self.looks.run):
+        for loop in (self.keep_reconciling, self.looks.run):
             self.spawn(loop)
 
     def spawn(self, function, *arguments):
@@ -159,14 +159,14 @@
         return self.is_unresponsive and now >= self.lease_expired_at
 
     def is_starting(self, run):
-        """Whether a run is too young to tell if it works, or not known here."""
+        """Whether a run has just started, or is not known to this agent."""
         view = self.view_by_task.get(run.task)
         if view is None or view.run is not run:
             return True
         return is_starting(view, lease_seconds())
 
     def is_stable(self, run):
-        """Whether a run has worked long enough not to be suspected of a crash."""
+        """Whether a run has been active long enough not to be suspected of a crash."""
         view = self.view_by_task.get(run.task)
         step = self.session.step_of(run)
         if view is None or view.run is not run or step is None:
@@ -177,8 +177,8 @@
         """Place no new runs on this minion for the given time."""
         self.placement_paused_until = lease_seconds() + seconds
 
-    def give_orders(self):
-        """Reconcile the minion with the recorded runs after every wake-up."""
+    def keep_reconciling(self):
+        """Reconcile the minion with the recorded runs until it is gone."""
         while not self.is_gone:
             self.adopt_records()
             for view in list(self.view_by_task.values()):
@@ -188,7 +188,7 @@
             self.wake.clear()
 
     def next_check_seconds(self):
-        """Return the timeout of the wait for a wake-up, or None for no timeout."""
+        """Return the timeout of the wait for a wake-up in seconds, or None."""
         unsettled = any(
             view.status in (RunViewStatus.UNSURE, RunViewStatus.STOPPED)
             for view in self.view_by_task.values()
@@ -196,7 +196,7 @@
         return RETRY_SECONDS if unsettled else None
 
     def adopt_records(self):
-        """Match the views with the runs recorded for this incarnation."""
+        """Add and remove views to match the runs recorded for this incarnation."""
         recorded = self.session.runs_of(self.minion.id)
         for task, view in list(self.view_by_task.items()):
             if recorded.get(task) is not view.run:
@@ -227,7 +227,7 @@
         self.spawn(self.carry_out, order, view)
 
     def carry_out(self, order, view):
-        """Give one order once fewer than `ORDERS_AT_ONCE` are in progress."""
+        """Give one order once fewer than `MAX_CONCURRENT_ORDERS` are in progress."""
         try:
             with self.orders:
                 if self.session.may_order():
@@ -282,7 +282,7 @@
         is ordered. The repetition covers an order whose reply is lost, or that is
         carried out late.
         """
-        first = gevent.spawn(self.timed, self.client.start, order)
+        first = gevent.spawn(self.timed_call, self.client.start, order)
         calls = [first]
         try:
             first.join(self.reply_time.timeout_seconds)
@@ -290,7 +290,7 @@
                 return first.get()
             if not self.may_repeat(view):
                 return first.get()
-            calls.append(gevent.spawn(self.timed, self.client.start, order))
+            calls.append(gevent.spawn(self.timed_call, self.client.start, order))
             for call in gevent.iwait(calls):
                 if call.get().kind in SETTLING_KINDS:
                     return call.get()
@@ -307,10 +307,10 @@
             and not self.minion.is_draining
         )
 
-    def timed(self, call, order):
+    def timed_call(self, call, order):
         """Give an order and record how long its reply took."""
         sent_at = lease_seconds()
-        reply = call(order, ANSWER_SECONDS)
+        reply = call(order, ORDER_TIMEOUT_SECONDS)
         if reply.kind not in (ReplyKind.UNSURE, ReplyKind.NOT_SENT):
             self.reply_time.note(lease_seconds() - sent_at)
         return reply
@@ -328,7 +328,7 @@
             gevent.sleep(RETRY_SECONDS)
             return
         order = StopOrder(view.run.task, view.run.number, self.session.fence)
-        reply = self.timed(self.client.stop, order)
+        reply = self.timed_call(self.client.stop, order)
         view.is_stop_sent |= reply.kind not in REFUSALS
         self.note_reply(reply)
         self.session.note_order("stop", view.run, reply)
@@ -342,7 +342,7 @@
     def order_pace(self, view, percent):
         """Order the pace of a run; a later status poll repeats a lost order."""
         order = PaceOrder(view.run.task, view.run.number, percent, self.session.fence)
-        reply = self.timed(self.client.pace, order)
+        reply = self.timed_call(self.client.pace, order)
         self.note_reply(reply)
         if reply.kind is ReplyKind.DONE:
             view.percent = percent
@@ -361,25 +361,25 @@
             When the call was sent, if known.
         """
         if reply.kind in (ReplyKind.UNSURE, ReplyKind.NOT_SENT):
-            self.note_silence(True)
+            self.set_unresponsive(True)
             self.looks.wake.set()
             return
         if reply.kind is ReplyKind.OTHER_LIFE:
-            self.note_silence(True)
+            self.set_unresponsive(True)
             # The agent stays until the end is recorded: nothing else would retry.
             self.is_gone = self.session.end_incarnation(
                 self.minion.id, "another incarnation answered"
             )
             return
-        self.note_silence(False)
+        self.set_unresponsive(False)
         self.last_message_at = lease_seconds()
         if reply.clock_ms is not None:
             self.note_clock(reply.clock_ms, asked_at)
         if reply.kind is ReplyKind.FENCED:
             self.session.fenced(self.minion.id)
 
-    def note_silence(self, is_unresponsive):
-        """Note whether the minion is unresponsive; log a change if it has runs."""
+    def set_unresponsive(self, is_unresponsive):
+        """Set whether the minion is unresponsive; log a change if it has runs."""
         if is_unresponsive != self.is_unresponsive and self.view_by_task:
             log_event(
                 "minion_silent" if is_unresponsive else "minion_answers",
--- a/hingepitch/jobs/agentregistry.py
+++ b/hingepitch/jobs/agentregistry.py
@@ -103,10 +103,10 @@
         if client is None:
             return False
         try:
-            look = client.look(PollOrder(self.session.fence, 0), MAX_TIMEOUT_SECONDS)
+            result = client.look(PollOrder(self.session.fence, 0), MAX_TIMEOUT_SECONDS)
         finally:
             client.close()
-        return look.reply.kind in PRESENT_KINDS
+        return result.reply.kind in PRESENT_KINDS
 
     def close(self):
         """Close the connections of all agents; their greenlets end with the session."""
--- a/hingepitch/jobs/blame.py
+++ b/hingepitch/jobs/blame.py
@@ -75,11 +75,11 @@
         return NO_BLAME
     views = agent.view_by_task.values()
     exposed = [view for view in views if is_exposed(agent, view, now_ms)]
-    fallen = count_simultaneous_losses(agent, agents)
-    if has_common_cause(agent, agents, fallen):
+    other_losses = count_simultaneous_losses(agent, agents)
+    if has_common_cause(agent, agents, other_losses):
         return Blame(tasks_of(exposed))
     starting = [view for view in exposed if is_starting(view, agent.last_message_at)]
-    alone = [] if fallen else only_suspects(agent, exposed)
+    alone = [] if other_losses else only_suspects(agent, exposed)
     return Blame(tasks_of(exposed), tasks_of(starting), tasks_of(alone))
 
 
@@ -115,9 +115,9 @@
     """Return how many other minions of the pool may have crashed at the same time.
 
     The times at which the minions became unresponsive are compared, with a margin
-    for the time in which this one may have crashed. If there is another one, no
-    single task can be suspected alone: each minion may have had a task that had
-    just started.
+    for the time in which this one may have crashed. If another minion may have
+    crashed too, no single task can be suspected alone: each minion may have had a
+    task that had just started.
     """
     detection_seconds = min(
         agent.unresponsive_since - agent.last_message_at, MAX_DETECTION_SECONDS
@@ -131,14 +131,16 @@
     )
 
 
-def has_common_cause(agent, agents, fallen):
+def has_common_cause(agent, agents, other_losses):
     """Whether too many minions were lost at once for a task on each to be the cause.
 
     Protects the tasks of a rack or hall that loses power: they are recorded as
     exposed only, so that they restart without isolation.
     """
     pool = sum(other.minion.pool == agent.minion.pool for other in agents)
-    return fallen + 1 >= max(MIN_COMMON_CAUSE_LOSSES, pool * COMMON_CAUSE_FRACTION)
+    return other_losses + 1 >= max(
+        MIN_COMMON_CAUSE_LOSSES, pool * COMMON_CAUSE_FRACTION
+    )
 
 
 def only_suspects(agent, exposed):
--- a/hingepitch/jobs/client.py
+++ b/hingepitch/jobs/client.py
@@ -17,7 +17,7 @@
 
 __all__ = ["JobClient"]
 
-#: Pause between two attempts, in seconds.
+#: Pause between two attempts of a request, in seconds.
 PAUSE_SECONDS = 0.03
 
 #: Error codes which guarantee that the request changed nothing.
@@ -35,10 +35,11 @@
 #: Error codes after which the request may have been applied.
 UNKNOWN_OUTCOME_CODES = frozenset(("peer_failed", "lost_leadership", "storage_failed"))
 
-#: Harmless codes that are transient: another replica, or the same one a little
-#: later, may accept the request.
+#: Those of `UNAPPLIED_CODES` that are transient: another replica, or the same one a
+#: little later, may accept the request.
 TRANSIENT_CODES = frozenset(("not_leader", "no_leader", "peer_unreachable"))
 
+#: Retry delay given to the caller if no leader is available, in milliseconds.
 RETRY_AFTER_MS = 1000
 
 
--- a/hingepitch/jobs/crash.py
+++ b/hingepitch/jobs/crash.py
@@ -232,9 +232,9 @@
     @classmethod
     def from_content(cls, records, silent):
         """Return the registry restored from the content of a snapshot."""
-        book = cls()
+        registry = cls()
         for record in records:
-            book.by_job.setdefault(record.task.job, {})[record.task] = record
+            registry.by_job.setdefault(record.task.job, {})[record.task] = record
         for one in silent:
-            book.suspect(one.life, one.blame)
-        return book
+            registry.suspect(one.life, one.blame)
+        return registry
--- a/hingepitch/jobs/dispatch.py
+++ b/hingepitch/jobs/dispatch.py
@@ -23,7 +23,7 @@
 
 #: Pause after a session that ended with an unexpected exception, in seconds, so
 #: that a fault that recurs at once does not keep the replica busy.
-FAILED_SECONDS = 0.2
+FAILURE_PAUSE_SECONDS = 0.2
 
 
 class Dispatcher:
@@ -65,7 +65,7 @@
             pause = POLL_SECONDS
             if self.replica.is_leader and self.is_confirmed():
                 has_failed = self.lead()
-                pause = FAILED_SECONDS if has_failed else POLL_SECONDS
+                pause = FAILURE_PAUSE_SECONDS if has_failed else POLL_SECONDS
             gevent.sleep(pause)
 
     def is_confirmed(self):
@@ -119,5 +119,5 @@
         return blame
 
     def is_present(self, minion):
-        """Whether an incarnation answers a call now; False without a session."""
+        """Whether an incarnation answers a probe now; False without a session."""
         return self.session is not None and self.session.agents.is_present(minion)
--- a/hingepitch/jobs/due.py
+++ b/hingepitch/jobs/due.py
@@ -21,7 +21,11 @@
 
 
 def round_begin_ms(job, round_number):
-    """Return when the time of a round begins, in milliseconds since the epoch."""
+    """Return the time from which the deadline of a round counts.
+
+    This is the due time of a repeated job's round, or else the acceptance of the
+    job, in milliseconds since the epoch.
+    """
     if job.spec.times:
         return job.spec.first_due_ms + round_number * job.spec.interval_ms
     return job.accepted_ms
--- a/hingepitch/jobs/duration.py
+++ b/hingepitch/jobs/duration.py
@@ -91,14 +91,14 @@
         `weight`
             The task's part of its step.
         """
-        kept = DECAY_PER_STEP**weight
+        decay = DECAY_PER_STEP**weight
         x, y = log(estimate_ms), log(took_ms)
-        self.weight = kept * self.weight + weight
-        self.x = kept * self.x + weight * x
-        self.y = kept * self.y + weight * y
-        self.xx = kept * self.xx + weight * x * x
-        self.xy = kept * self.xy + weight * x * y
-        self.yy = kept * self.yy + weight * y * y
+        self.weight = decay * self.weight + weight
+        self.x = decay * self.x + weight * x
+        self.y = decay * self.y + weight * y
+        self.xx = decay * self.xx + weight * x * x
+        self.xy = decay * self.xy + weight * x * y
+        self.yy = decay * self.yy + weight * y * y
         self.weight_since_fit += weight
         if self.weight_since_fit >= 1 - WHOLE_STEP_SLACK:
             self.refresh()
@@ -151,7 +151,7 @@
     starts without observations and learns within a dozen jobs of a queue.
 
     `fit_by_place`
-        The `Fit` of each queue, by the queue's place.
+        The `Fit` of each queue, by the queue's route.
     """
 
     def __init__(self):
--- a/hingepitch/jobs/gauge.py
+++ b/hingepitch/jobs/gauge.py
@@ -96,11 +96,11 @@
             "runs_exposed", "Runs under which a minion ended.", len(blame.exposed)
         )
 
-    def note_unread(self, look):
+    def note_unread(self, result):
         """Count the rows of a status poll that could not be read."""
         for kind, count in (
-            ("running", look.unread_running),
-            ("ended", look.unread_ended),
+            ("running", result.unread_running),
+            ("ended", result.unread_ended),
         ):
             if count:
                 self.metrics.count("rows_unread", "Unread rows.", count, kind=kind)
@@ -122,14 +122,14 @@
             )
 
     def note_waiting(self, table):
-        """Set the number of waiting tasks of ready steps, by whether they last."""
+        """Set the number of waiting tasks of ready steps, by whether long-running."""
         waiting = Counter()
         for job_id, round_number, number in table.ready_steps:
             job = table.job_by_id[job_id]
             tasks = job.round_by_number[round_number].tasks_by_step[number]
             count = sum(task.status is TaskStatus.WAITING for task in tasks)
             waiting[job.spec.steps[number].lasts] += count
-        self.show_waiting(waiting)
+        self.set_waiting(waiting)
 
     def note_suspects(self, crashes):
         """Set the number of suspected tasks and of unresponsive incarnations."""
@@ -141,7 +141,7 @@
             len(crashes.blame_by_life),
         )
 
-    def show_waiting(self, waiting):
+    def set_waiting(self, waiting):
         """Set the number of waiting tasks.
 
         `waiting`
@@ -158,7 +158,7 @@
     def show_nothing(self):
         """Set all gauges to 0, since this process no longer leads."""
         self.note_minions((), 0.0)
-        self.show_waiting(Counter())
+        self.set_waiting(Counter())
         self.note_suspects(CrashRegistry())
 
     def observe_since(self, name, job, at_ms, **labels):
--- a/hingepitch/jobs/isolation.py
+++ b/hingepitch/jobs/isolation.py
@@ -143,7 +143,10 @@
         return sorted(indexes, key=rank)
 
     def admitted(self, work, key, step, candidates):
-        """Return the minions that isolation allows for a task, free capacity aside."""
+        """Return the candidates that isolation allows for a task.
+
+        Free capacity is checked separately.
+        """
         if self.is_inactive:
             return candidates
         if self.suspicion(key):
@@ -154,7 +157,10 @@
         return [minion for minion in candidates if minion.id not in kept]
 
     def admitted_suspect(self, key, step, candidates):
-        """Return the minions that may run a suspected task: those that are settled.
+        """Return the candidates that may run a suspected task.
+
+        No run has just started on these minions, and no other suspected task has
+        one of them to itself.
 
         Only one suspected task of a job starts at a time: if it is the cause, the
         others need not start. Those of a gang start together and share minions.
@@ -175,15 +181,15 @@
     def reserved(self, work, pool):
         """Return the incarnations of a pool reserved for suspected tasks.
 
-        The minions closest to settled are chosen. As the pass starts nothing else
-        there, they soon settle and later passes reserve them again.
+        As the pass starts no other tasks there, their runs soon settle, and later
+        passes reserve the same minions again.
         """
         if pool not in self.reserved_by_pool:
             self.reserved_by_pool[pool] = self.reserve(work, pool)
         return self.reserved_by_pool[pool]
 
     def reserve(self, work, pool):
-        """Choose the minions to reserve: settled ones first, then the least used."""
+        """Choose minions to reserve: those without a starting run, the least used."""
         minions = work.minions(pool)
         most = max(1, int(len(minions) * RESERVED_FRACTION))
         count = min(self.waiting_by_pool.get(pool, 0), most)
--- a/hingepitch/jobs/load.py
+++ b/hingepitch/jobs/load.py
@@ -86,9 +86,9 @@
 
 def add_minion(load, table, minion):
     """Add a minion and its runs to the load of its pool."""
-    taken = table.taken_by_minion[minion.id]
-    load.running += taken.cpu_millicores
-    load.running_mb += taken.memory_mb
+    used = table.taken_by_minion[minion.id]
+    load.running += used.cpu_millicores
+    load.running_mb += used.memory_mb
     largest = load.largest
     largest.cpu_millicores = max(largest.cpu_millicores, minion.cpu_millicores)
     largest.memory_mb = max(largest.memory_mb, minion.memory_mb)
--- a/hingepitch/jobs/mover.py
+++ b/hingepitch/jobs/mover.py
@@ -205,9 +205,9 @@
                 view.idle = list(self.idle_vms(minions_by_pool[pool.name], taken, now))
                 view.present = load.minions + self.incoming(pool.name)
                 view.present -= self.outgoing(pool.name)
-                view.present -= away(minions_by_pool[pool.name], in_upkeep)
-                lapsed = self.expired_vms(minions_by_pool[pool.name], now) - in_upkeep
-                view.present -= away(minions_by_pool[pool.name], lapsed)
+                view.present -= count_unavailable(minions_by_pool[pool.name], in_upkeep)
+                expired = self.expired_vms(minions_by_pool[pool.name], now) - in_upkeep
+                view.present -= count_unavailable(minions_by_pool[pool.name], expired)
             view.kinds = frozenset(minion.kind for minion in minions_by_pool[pool.name])
             self.kinds_by_pool[pool.name] |= view.kinds
             yield view
@@ -304,7 +304,7 @@
         """
         try:
             if self.session.table.move_by_vm.get(vm) != pool:
-                log_event("move_step", vm=vm, pool=pool, reply="over already")
+                log_event("move_step", vm=vm, pool=pool, reply="already over")
                 return
             life = self.session.table.life_by_vm.get(vm)
             reply = self.platform.move(
@@ -365,7 +365,9 @@
         # If the command is not committed, the next try comes after the same time.
         self.moved_at_by_vm[vm] = lease_seconds()
         fence = self.session.fence
-        log_event("move_step", vm=vm, pool=pool, fence=fence, reply="never came")
+        log_event(
+            "move_step", vm=vm, pool=pool, fence=fence, reply="VM never registered"
+        )
         self.session.propose(EndMove(vm))
 
     def finish(self, vm, pool, life):
@@ -393,12 +395,12 @@
         self.held_until_by_vm[vm] = max(until, self.held_until_by_vm.get(vm, 0.0))
 
 
-def away(minions, gone):
-    """Return how many of `minions` are unavailable because their VM is in `gone`.
+def count_unavailable(minions, gone):
+    """Return how many of `minions` are on VMs in `gone` and are not draining.
 
-    Such minions stay registered until the next incarnation registers. Counted
-    as present, they would keep a pool from getting replacements: a long-running
-    task waited 3.7 s for a VM while a wave had taken down 45 of 272, and 8.3 s
-    while a network partition cut off 5 minions of a pool.
+    A minion stays registered until the next incarnation on its VM registers. Counted
+    as present, unavailable ones would keep a pool from getting replacements: a
+    long-running task waited 3.7 s for a VM while a wave had taken down 45 of 272, and
+    8.3 s while a network partition cut off 5 minions of a pool.
     """
     return sum(one.vm in gone and not one.is_draining for one in minions)
--- a/hingepitch/jobs/permission.py
+++ b/hingepitch/jobs/permission.py
@@ -93,7 +93,7 @@
             gevent.sleep(0)
             if self.needs_call(step_key):
                 asked = self.ask(step_key) or asked
-        self.forget()
+        self.forget_ended_jobs()
         return asked
 
     def advice_terms(self, step_key):
@@ -184,8 +184,8 @@
         permission = self.permissions_by_step.get(step_key, {}).get(life)
         return permission.ticket if permission else None
 
-    def forget(self):
-        """Delete the permissions of steps whose jobs have ended."""
+    def forget_ended_jobs(self):
+        """Delete the permissions and denials of steps whose jobs have ended."""
         jobs = self.session.table.job_by_id
         for step_key in list(self.permissions_by_step):
             job = jobs.get(step_key[0])
--- a/hingepitch/jobs/plan.py
+++ b/hingepitch/jobs/plan.py
@@ -43,7 +43,7 @@
     `rack_waited_ms_by_step`
         How long each `same_rack` step has waited for a rack.
     `suspects`
-        Where tasks run that are suspected of crashing their minions.
+        The `SuspectView`, for isolating tasks suspected of crashing minions.
     `paused`
         Tasks that must not be started yet.
     """
@@ -91,11 +91,11 @@
 
     def room(self, minion):
         """Return the resources used on a minion, planned starts included."""
-        taken = self.used_by_minion.get(minion.id)
-        if taken is None:
-            taken = replace(self.table.taken_by_minion[minion.id])
-            self.used_by_minion[minion.id] = taken
-        return taken
+        used = self.used_by_minion.get(minion.id)
+        if used is None:
+            used = replace(self.table.taken_by_minion[minion.id])
+            self.used_by_minion[minion.id] = used
+        return used
 
     def task_counts(self, step_key):
         """Return the number of tasks of a step by minion, planned starts included."""
@@ -107,20 +107,20 @@
 
     def reserve(self, step_key, step, minion):
         """Reserve resources on `minion` for one more task of `step`."""
-        room = self.room(minion)
-        room.cpu_millicores += step.counted_millicores
-        room.memory_mb += step.memory_mb
-        room.accelerators += step.accelerators
+        used = self.room(minion)
+        used.cpu_millicores += step.counted_millicores
+        used.memory_mb += step.memory_mb
+        used.accelerators += step.accelerators
         counts = self.task_counts(step_key)
         counts[minion.id] = counts.get(minion.id, 0) + 1
 
     def release(self, step_key, step, minion):
         """Release the resources that `reserve` took for one task."""
         self.too_large_by_pool.pop(minion.pool, None)
-        room = self.room(minion)
-        room.cpu_millicores -= step.counted_millicores
-        room.memory_mb -= step.memory_mb
-        room.accelerators -= step.accelerators
+        used = self.room(minion)
+        used.cpu_millicores -= step.counted_millicores
+        used.memory_mb -= step.memory_mb
+        used.accelerators -= step.accelerators
         self.task_counts(step_key)[minion.id] -= 1
 
     def is_too_large(self, pool, step):
@@ -280,16 +280,16 @@
     for minion in candidates:
         if step.max_per_minion and task_counts.get(minion.id, 0) >= step.max_per_minion:
             continue
-        room = work.room(minion)
-        if not room.fits(minion, step):
+        used = work.room(minion)
+        if not used.fits(minion, step):
             continue
-        taken = room.cpu_millicores / max(1, minion.cpu_millicores)
+        utilization = used.cpu_millicores / max(1, minion.cpu_millicores)
         score = (
             minion.vm in avoided,
             bool(step.data_rack) and minion.rack != step.data_rack,
             step.lasts and minion.vm in work.vms_due,
             work.plan_context.penalty_by_minion.get(minion.id, 0.0),
-            taken if is_suspect else -taken,
+            utilization if is_suspect else -utilization,
         )
         if best is None or score < best_score:
             best, best_score = minion, score
--- a/hingepitch/jobs/poller.py
+++ b/hingepitch/jobs/poller.py
@@ -86,7 +86,7 @@
         self.was_refused = False
 
     def run(self):
-        """Poll the minion whenever `is_needed` says that a poll is needed."""
+        """Poll the minion while `is_needed`, until the agent is gone."""
         while not self.agent.is_gone:
             if not self.is_needed():
                 self.wake.clear()
@@ -98,7 +98,7 @@
             self.long_poll()
 
     def is_needed(self):
-        """Whether a poll can bring news or has an acknowledgement to deliver."""
+        """Whether a poll is needed, for a status or to acknowledge recorded ends."""
         if (
             self.ends_acknowledged < self.ends_recorded
             or self.agent.clock_offset_ms is None
@@ -171,7 +171,7 @@
                 if not self.agent.session.may_order():
                     gevent.sleep(UNCONFIRMED_SECONDS)
                     continue
-                self.look(0)
+                self.poll(0)
         finally:
             self.is_settling = False
 
@@ -180,14 +180,14 @@
         wait_ms = self.wait_ms()
         self.is_long_polling = wait_ms > 0
         try:
-            self.look(wait_ms)
+            self.poll(wait_ms)
         finally:
             self.is_long_polling = False
 
-    def look(self, wait_ms):
+    def poll(self, wait_ms):
         """Send a poll that waits `wait_ms` at most, and process its result."""
         sent_at = lease_seconds()
-        taken = self.ends_recorded
+        acknowledged = self.ends_recorded
         until = renewal = None
         # A renewal without an answer may still arrive and extend the lease, so a
         # minion that is unresponsive or refused a poll gets no renewals until it
@@ -197,11 +197,11 @@
             until = self.agent.lease_until_ms()
             self.agent.extend_lease()
             renewal = self.agent.renewals.note_sent(until, sent_at)
-        order = PollOrder(self.agent.session.fence, taken, until, wait_ms)
+        order = PollOrder(self.agent.session.fence, acknowledged, until, wait_ms)
         answer_seconds = max(ANSWER_SECONDS, self.agent.reply_time.timeout_seconds)
-        look = self.agent.client.look(order, wait_ms / 1000 + answer_seconds)
-        self.agent.note_reply(look.reply, sent_at)
-        is_done = look.reply.kind is ReplyKind.DONE
+        result = self.agent.client.look(order, wait_ms / 1000 + answer_seconds)
+        self.agent.note_reply(result.reply, sent_at)
+        is_done = result.reply.kind is ReplyKind.DONE
         self.was_refused = not is_done and not self.agent.is_unresponsive
         if not is_done:
             self.end_runs_if_expired()
@@ -212,28 +212,31 @@
         if wait_ms == 0:
             self.agent.reply_time.note(lease_seconds() - sent_at)
         self.agent.session.withdraw_suspicion(self.agent.minion.id)
-        self.process_result(look, sent_at, taken)
+        self.process_result(result, sent_at, acknowledged)
         self.agent.renewals.note_answered(renewal)
         self.agent.wake.set()
         if wait_ms == 0:
             gevent.sleep(self.agent.session.poll_pause_seconds)
 
-    def process_result(self, look, sent_at, taken):
+    def process_result(self, result, sent_at, acknowledged):
         """Process the result of a poll, one result at a time.
 
         If the result of a poll that was sent later has been processed, the list of
         runs is outdated and skipped; the ends are still valid.
+
+        `acknowledged`
+            Sequence number of the last end that the poll acknowledged.
         """
         with self.result_lock:
             is_news = sent_at >= self.polled_at
-            self.ends_acknowledged = max(self.ends_acknowledged, taken)
+            self.ends_acknowledged = max(self.ends_acknowledged, acknowledged)
             if is_news:
                 self.polled_at = sent_at
-                self.update_running(look.running, sent_at)
-            self.record_ends(look.ended)
-            self.agent.session.gauge.note_unread(look)
-            if is_news and not look.unread_running:
-                self.end_missing(look.running, sent_at)
+                self.update_running(result.running, sent_at)
+            self.record_ends(result.ended)
+            self.agent.session.gauge.note_unread(result)
+            if is_news and not result.unread_running:
+                self.end_missing(result.running, sent_at)
 
     def update_running(self, rows, now):
         """Update the views from the runs that a poll lists; log unrecorded runs."""
@@ -294,10 +297,14 @@
         return run is not None and run.number == end.number
 
     def end_missing(self, rows, sent_at):
-        """Update the status of recorded runs that a poll does not list."""
-        shown = {(row.task, row.number) for row in rows}
+        """Update the status of recorded runs that a poll does not list.
+
+        A missing run that was stopped has ended; the outcome of one that was
+        inherited or running becomes unknown.
+        """
+        listed = {(row.task, row.number) for row in rows}
         for view in list(self.agent.view_by_task.values()):
-            if (view.run.task, view.run.number) in shown:
+            if (view.run.task, view.run.number) in listed:
                 continue
             if not self.is_recorded(view.run):
                 continue
--- a/hingepitch/jobs/queue.py
+++ b/hingepitch/jobs/queue.py
@@ -143,12 +143,12 @@
     pools = {pool.name for pool in config.pools}
     if len(pools) != len(config.pools):
         raise HingepitchError("bad_object", "two pools share a name")
-    places = set()
+    routes = set()
     for queue in config.queues:
         if queue.pool not in pools:
             raise HingepitchError("bad_object", f"{queue.name}: unknown {queue.pool}")
-        if queue.route in places:
+        if queue.route in routes:
             raise HingepitchError("bad_object", f"{queue.name}: its place is taken")
         if queue.timeout_ms <= 0:
             raise HingepitchError("bad_object", f"{queue.name}: no time-out")
-        places.add(queue.route)
+        routes.add(queue.route)
--- a/hingepitch/jobs/rack.py
+++ b/hingepitch/jobs/rack.py
@@ -85,30 +85,30 @@
 
 
 def potential_slots(work, step, minions):
-    """Return how many tasks of `step` fit beside the long-running ones alone."""
+    """Return how many tasks of `step` would fit once all but long-running runs end."""
     return sum(slots_on(step, one, lasting_usage(work.table, one)) for one in minions)
 
 
 def lasting_usage(table, minion):
     """Return the resources that long-running tasks use on a minion."""
-    room = ResourceUsage()
+    used = ResourceUsage()
     for run in table.runs_by_minion.get(minion.id, {}).values():
         job = table.job_by_id.get(run.task.job)
         if job is not None and job.is_open and job.spec.steps[run.task.step].lasts:
-            room.add(run)
-    return room
+            used.add(run)
+    return used
 
 
-def slots_on(step, minion, room):
+def slots_on(step, minion, used):
     """Return how many tasks of `step` fit on `minion`.
 
-    `room`
-        The resources that are in use there.
+    `used`
+        `ResourceUsage` of the runs on the minion that count as present.
     """
     free = (
-        (minion.cpu_millicores - room.cpu_millicores, step.counted_millicores),
-        (minion.memory_mb - room.memory_mb, step.memory_mb),
-        (minion.accelerators - room.accelerators, step.accelerators),
+        (minion.cpu_millicores - used.cpu_millicores, step.counted_millicores),
+        (minion.memory_mb - used.memory_mb, step.memory_mb),
+        (minion.accelerators - used.accelerators, step.accelerators),
     )
     slots = min((have // need for have, need in free if need), default=step.count)
     return min(slots, step.max_per_minion or slots, step.count)
--- a/hingepitch/jobs/roster.py
+++ b/hingepitch/jobs/roster.py
@@ -19,14 +19,15 @@
     `sequence_by_minion`
         Sequence number of the last heartbeat, by incarnation.
     `on_heartbeat`
-        Function of an incarnation and its clock, called for each new heartbeat;
-        set by the dispatcher.
+        Callback with an incarnation and its clock, for each new heartbeat.
     `on_crash`
-        Function from an incarnation that a newer one on its VM replaces to the
-        `Blame` for its end; set by the dispatcher.
+        Callback that returns the `Blame` for the end of an incarnation that is
+        replaced by a newer one on its VM.
     `is_present`
-        Function of a `Minion`: whether that incarnation answers a call now; set
-        by the dispatcher.
+        Callback that returns whether the incarnation of a `Minion` answers a
+        probe now.
+
+    The dispatcher sets the callbacks.
     """
 
     def __init__(self):
--- a/hingepitch/jobs/rule.py
+++ b/hingepitch/jobs/rule.py
@@ -145,8 +145,8 @@
     if step.required_label and step.required_label not in minion.labels:
         return "the minion lacks the required label"
     if step.max_per_minion:
-        carried = table.run_counts_by_step.get(key[:3], {}).get(minion.id, 0)
-        if carried >= step.max_per_minion:
+        count = table.run_counts_by_step.get(key[:3], {}).get(minion.id, 0)
+        if count >= step.max_per_minion:
             return "the minion runs max_per_minion tasks of the step"
     if not table.taken_by_minion[minion.id].fits(minion, step):
         return "the minion has too little free capacity"
--- a/hingepitch/jobs/service.py
+++ b/hingepitch/jobs/service.py
@@ -94,9 +94,9 @@
         # Applied entries are committed, so a known job needs no second entry.
         if question.id in self.table.job_by_id:
             return
-        on_its_way = self.accepting.get(question.id)
-        if on_its_way is not None:
-            on_its_way.get()
+        pending_result = self.accepting.get(question.id)
+        if pending_result is not None:
+            pending_result.get()
             return
         self.accept_once(question)
 
--- a/hingepitch/jobs/session.py
+++ b/hingepitch/jobs/session.py
@@ -63,7 +63,7 @@
 GATHER_SECONDS = 0.002
 
 #: Interval between two log lines on the load of each pool, in seconds.
-LOAD_SECONDS = 1.0
+LOAD_LOG_SECONDS = 1.0
 
 #: Pause after a status poll that returns at once, in seconds.
 POLL_PAUSE_SECONDS = 0.1
@@ -89,10 +89,9 @@
     `restarts`
         The long-running tasks that ended right after their start.
     `suspect_waits`
-        Since when the tasks that must start in isolation have waited.
-    `rack_waits`
-        Since when the steps that need a single rack have waited under this
-        leadership.
+        The `SuspectWaitTracker` of the tasks that must start in isolation.
+    `rack_wait_since_by_step`
+        When this leadership first saw each waiting `same_rack` step, by step.
     `inherited`
         Task and number of each run that an earlier leader recorded.
     """
@@ -115,7 +114,7 @@
         self.agents = AgentRegistry(self, connect)
         self.greenlets = set()
         self.woken = Event()
-        self.rack_waits = {}
+        self.rack_wait_since_by_step = {}
         self.restarts = RestartBackoff()
         self.suspect_waits = SuspectWaitTracker(lease_seconds)
         self.gather_seconds = GATHER_SECONDS
@@ -284,7 +283,7 @@
         return is_over
 
     def suspect(self, minion_id):
-        """Record the suspected tasks if an incarnation of a minion has crashed."""
+        """Record which tasks are suspected if an incarnation has crashed."""
         blame = self.blame(minion_id)
         if blame.exposed:
             self.gauge.note_crash(blame)
@@ -292,7 +291,7 @@
             self.propose(SuspectLife(minion_id, blame))
 
     def blame(self, minion_id):
-        """Return the `Blame` for an incarnation that ends now without a plan."""
+        """Return the `Blame` for an unplanned end of an incarnation now."""
         agent = self.agent_by_minion.get(minion_id)
         if agent is None:
             return unobserved_blame(self.table, minion_id)
@@ -403,7 +402,7 @@
             log_event("leader_unconfirmed", fence=self.fence, error=error.code)
 
     def follow_changes(self):
-        """Wake the planning loop, and the mover for new jobs, on every state change."""
+        """Wake the planning loop on every state change, and the mover for new jobs."""
         while True:
             self.replica.changed.wait()
             self.woken.set()
@@ -414,7 +413,7 @@
     def log_loads(self):
         """Log the load of each pool at intervals."""
         while True:
-            gevent.sleep(LOAD_SECONDS)
+            gevent.sleep(LOAD_LOG_SECONDS)
             self.attempt("loads", self.log_load)
 
     def log_load(self):
@@ -491,13 +490,16 @@
         )
 
     def rack_waited_ms(self, now):
-        """Return how long each ready step that needs a single rack has waited."""
-        self.rack_waits = {
-            key: self.rack_waits.get(key, now)
+        """Return how long each ready `same_rack` step has waited, by step."""
+        self.rack_wait_since_by_step = {
+            key: self.rack_wait_since_by_step.get(key, now)
             for key in self.table.ready_steps
             if self.table.job_by_id[key[0]].spec.steps[key[2]].same_rack
         }
-        return {key: (now - since) * 1000 for key, since in self.rack_waits.items()}
+        return {
+            key: (now - since) * 1000
+            for key, since in self.rack_wait_since_by_step.items()
+        }
 
     def open_due_rounds(self):
         """Open the rounds of repeated jobs that are due."""
--- a/hingepitch/jobs/table.py
+++ b/hingepitch/jobs/table.py
@@ -270,11 +270,11 @@
         self.changed_minions.add(run.minion)
         del self.runs_by_minion[run.minion][run.task]
         self.taken_by_minion[run.minion].add(run, -1)
-        carried = self.run_counts_by_step[step]
-        carried[run.minion] -= 1
-        if not carried[run.minion]:
-            del carried[run.minion]
-        if not carried:
+        counts = self.run_counts_by_step[step]
+        counts[run.minion] -= 1
+        if not counts[run.minion]:
+            del counts[run.minion]
+        if not counts:
             del self.run_counts_by_step[step]
 
     def start_run(self, start, number, at_ms):
--- a/hingepitch/jobs/watch.py
+++ b/hingepitch/jobs/watch.py
@@ -154,15 +154,15 @@
     def poll_wait_ms(self, agent):
         """Return how long a status poll may wait for an end, in milliseconds."""
         longest = self.session.terms.poll_wait_ms
-        if self.has_warming(agent):
+        if self.has_warming_task(agent):
             return min(WARMING_POLL_MS, longest)
         if self.fillers(agent) and any(self.serving_tasks(agent)):
             return min(SHARED_POLL_MS, longest)
-        if self.has_ending(agent):
+        if self.has_batch_run(agent):
             return min(BUSY_POLL_MS, longest)
         return longest
 
-    def has_warming(self, agent):
+    def has_warming_task(self, agent):
         """Whether a long-running task was started recently and is not at work yet."""
         since = lease_seconds() - WARMING_SECONDS
         for view in agent.view_by_task.values():
@@ -174,8 +174,8 @@
                 return True
         return False
 
-    def has_ending(self, agent):
-        """Whether a minion has a run that normally ends by itself."""
+    def has_batch_run(self, agent):
+        """Whether a minion has a run of a task that is not long-running."""
         steps = (self.session.step_of(view.run) for view in agent.view_by_task.values())
         return any(step is not None and not step.lasts for step in steps)
 
--- a/standin/crash_faults.py
+++ b/standin/crash_faults.py
@@ -58,13 +58,13 @@
         (
             (
                 "jobs/blame.py",
-                "    if has_common_cause(agent, agents, fallen):\n"
+                "    if has_common_cause(agent, agents, other_losses):\n"
                 "        return Blame(tasks_of(exposed))\n",
                 "",
             ),
             (
                 "jobs/blame.py",
-                "[] if fallen else only_suspects(agent, exposed)",
+                "[] if other_losses else only_suspects(agent, exposed)",
                 "only_suspects(agent, exposed)",
             ),
         ),
--- a/standin/faults.py
+++ b/standin/faults.py
@@ -564,7 +564,7 @@
     Fault(
         "jobs",
         "each concurrent request for a job adds a log entry",
-        (("jobs/service.py", "if on_its_way is not None:", "if False:"),),
+        (("jobs/service.py", "if pending_result is not None:", "if False:"),),
         "asked_for_again_costs_one_entry",
     ),
     Fault(
@@ -611,7 +611,7 @@
             (
                 "jobs/mover.py",
                 "                view.present -= "
-                "away(minions_by_pool[pool.name], in_upkeep)\n",
+                "count_unavailable(minions_by_pool[pool.name], in_upkeep)\n",
                 "",
             ),
         ),
