--- a/hingepitch/jobs/permission.py
+++ b/hingepitch/jobs/permission.py
@@ -93,7 +93,7 @@
             gevent.sleep(0)
             if self.needs_call(step_key):
                 asked = self.ask(step_key) or asked
-        self.forget_ended_jobs()
+        self.forget()
         return asked
 
     def advice_terms(self, step_key):
@@ -184,7 +184,7 @@
         permission = self.permissions_by_step.get(step_key, {}).get(life)
         return permission.ticket if permission else None
 
-    def forget_ended_jobs(self):
+    def forget(self):
         """Delete the permissions and denials of steps whose jobs have ended."""
         jobs = self.session.table.job_by_id
         for step_key in list(self.permissions_by_step):
