--- a/hingepitch/jobs/demand.py
+++ b/hingepitch/jobs/demand.py
@@ -85,7 +85,7 @@
             job = table.job_by_id.get(job_id)
             if job is None or job.spec.times:
                 continue
-            queue = table.policy(job)
+            queue = table.current_queue(job)
             rate = self.rate_by_pool.setdefault(queue.pool, ArrivalRate())
             expected_ms = self.session.durations.queue_estimator(queue.route)
             rate.note(work_core_ms(job.spec, expected_ms), now)
--- a/hingepitch/jobs/due.py
+++ b/hingepitch/jobs/due.py
@@ -21,24 +21,30 @@
 
 
 def round_begin_ms(job, round_number):
-    """Return when the time of a round begins, in milliseconds since the epoch."""
+    """Return the time from which the deadline of a round counts.
+
+    This is the due time of a repeated job's round, or else the acceptance of the
+    job, in milliseconds since the epoch.
+    """
     if job.spec.times:
         return job.spec.first_due_ms + round_number * job.spec.interval_ms
     return job.accepted_ms
 
 
-def due_ms(policy, job, round_number, durations):
+def due_ms(current_queue, job, round_number, durations):
     """Return the deadline of a round of `job`, in milliseconds since the epoch.
 
     `durations`
         The run time estimates, a `Durations`.
     """
-    chain = critical_path_ms(job.spec.steps, durations.queue_estimator(policy.route))
+    chain = critical_path_ms(
+        job.spec.steps, durations.queue_estimator(current_queue.route)
+    )
     begin = round_begin_ms(job, round_number)
-    return begin + policy.objective_ms + policy.stretch * chain
+    return begin + current_queue.objective_ms + current_queue.stretch * chain
 
 
-def is_late(policy, job, round_number, step_number, now_ms, durations):
+def is_late(current_queue, job, round_number, step_number, now_ms, durations):
     """Whether a round is unlikely to meet its deadline if a step starts now.
 
     The deadline, and with it the slack of a round, grows with the run times of its
@@ -49,10 +55,12 @@
     steps = job.spec.steps
     if steps[step_number].lasts:
         return False
-    expected_ms = durations.queue_estimator(policy.route)
+    expected_ms = durations.queue_estimator(current_queue.route)
     left = critical_path_from_ms(steps, step_number, expected_ms)
-    slack_ms = policy.stretch * critical_path_ms(steps, expected_ms) - left
-    used_slack_ms = now_ms - round_begin_ms(job, round_number) - policy.objective_ms
+    slack_ms = current_queue.stretch * critical_path_ms(steps, expected_ms) - left
+    used_slack_ms = (
+        now_ms - round_begin_ms(job, round_number) - current_queue.objective_ms
+    )
     return used_slack_ms > slack_ms * exp(
-        LATE_STANDARD_ERRORS * durations.error(policy.route)
+        LATE_STANDARD_ERRORS * durations.error(current_queue.route)
     )
--- a/hingepitch/jobs/explain.py
+++ b/hingepitch/jobs/explain.py
@@ -48,7 +48,7 @@
     _, round_number, number = key
     tasks = job.round_by_number[round_number].tasks_by_step[number]
     waiting = sum(task.status is TaskStatus.WAITING for task in tasks)
-    pool = table.policy(job).pool
+    pool = table.current_queue(job).pool
     minions = sum(one.pool == pool for one in table.minion_by_id.values())
     return (
         f"step {number}: {waiting} of {len(tasks)} tasks wait for pool {pool}, "
--- a/hingepitch/jobs/load.py
+++ b/hingepitch/jobs/load.py
@@ -73,9 +73,9 @@
     for minion in table.minion_by_id.values():
         add_minion(load_by_pool.setdefault(minion.pool, PoolLoad()), table, minion)
     for step_key in table.ready_steps:
-        policy = table.policy(table.job_by_id[step_key[0]])
-        load = load_by_pool.setdefault(policy.pool, PoolLoad())
-        add_waiting(load, table, policy, step_key, now_ms, durations)
+        current_queue = table.current_queue(table.job_by_id[step_key[0]])
+        load = load_by_pool.setdefault(current_queue.pool, PoolLoad())
+        add_waiting(load, table, current_queue, step_key, now_ms, durations)
     for run in table.run_by_task.values():
         job = table.job_by_id.get(run.task.job)
         minion = table.minion_by_id.get(run.minion)
@@ -86,9 +86,9 @@
 
 def add_minion(load, table, minion):
     """Add a minion and its runs to the load of its pool."""
-    taken = table.taken_by_minion[minion.id]
-    load.running += taken.cpu_millicores
-    load.running_mb += taken.memory_mb
+    used = table.usage_by_minion[minion.id]
+    load.running += used.cpu_millicores
+    load.running_mb += used.memory_mb
     largest = load.largest
     largest.cpu_millicores = max(largest.cpu_millicores, minion.cpu_millicores)
     largest.memory_mb = max(largest.memory_mb, minion.memory_mb)
@@ -99,7 +99,7 @@
         load.room_mb += minion.memory_mb
 
 
-def add_waiting(load, table, policy, step_key, now_ms, durations):
+def add_waiting(load, table, current_queue, step_key, now_ms, durations):
     """Add the waiting tasks of a ready step to the load of its pool."""
     job_id, round_number, step_number = step_key
     job = table.job_by_id[job_id]
@@ -111,7 +111,7 @@
     load.waiting += count * step.counted_millicores
     load.waiting_mb += count * step.memory_mb
     load.waiting_tasks += count
-    if is_late(policy, job, round_number, step_number, now_ms, durations):
+    if is_late(current_queue, job, round_number, step_number, now_ms, durations):
         load.waiting_late += count * step.counted_millicores
         load.waiting_late_mb += count * step.memory_mb
     if step.max_per_minion:
--- a/hingepitch/jobs/permission.py
+++ b/hingepitch/jobs/permission.py
@@ -93,13 +93,13 @@
             gevent.sleep(0)
             if self.needs_call(step_key):
                 asked = self.ask(step_key) or asked
-        self.forget()
+        self.forget_ended_jobs()
         return asked
 
     def advice_terms(self, step_key):
         """Return the `AdviceTerms` of the queue of a step, or None."""
         job = self.session.table.job_by_id.get(step_key[0])
-        return self.session.table.policy(job).advice if job else None
+        return self.session.table.current_queue(job).advice if job else None
 
     def needs_call(self, step_key):
         """Whether a step needs permissions and has no usable one.
@@ -158,7 +158,7 @@
         If the step has valid permissions, only minions with free capacity count.
         """
         table = self.session.table
-        pool = table.policy(table.job_by_id[step_key[0]]).pool
+        pool = table.current_queue(table.job_by_id[step_key[0]]).pool
         known = self.permitted(step_key)
         now = lease_seconds()
         denied_until = self.denied_until_by_step.get(step_key, {})
@@ -170,7 +170,7 @@
             and now >= denied_until.get(one.id, 0.0)
             and (not known or self.has_capacity(step_key, one.id))
         ]
-        minions.sort(key=lambda one: table.taken_by_minion[one.id].cpu_millicores)
+        minions.sort(key=lambda one: table.usage_by_minion[one.id].cpu_millicores)
         return [minion.id for minion in minions[:MINIONS_IN_CALL]]
 
     def permitted(self, step_key):
@@ -184,8 +184,8 @@
         permission = self.permissions_by_step.get(step_key, {}).get(life)
         return permission.ticket if permission else None
 
-    def forget(self):
-        """Delete the permissions of steps whose jobs have ended."""
+    def forget_ended_jobs(self):
+        """Delete the permissions and denials of steps whose jobs have ended."""
         jobs = self.session.table.job_by_id
         for step_key in list(self.permissions_by_step):
             job = jobs.get(step_key[0])
--- a/hingepitch/jobs/plan.py
+++ b/hingepitch/jobs/plan.py
@@ -43,7 +43,7 @@
     `rack_waited_ms_by_step`
         How long each `same_rack` step has waited for a rack.
     `suspects`
-        Where tasks run that are suspected of crashing their minions.
+        The `SuspectView`, for isolating tasks suspected of crashing minions.
     `paused`
         Tasks that must not be started yet.
     """
@@ -91,11 +91,11 @@
 
     def room(self, minion):
         """Return the resources used on a minion, planned starts included."""
-        taken = self.used_by_minion.get(minion.id)
-        if taken is None:
-            taken = replace(self.table.taken_by_minion[minion.id])
-            self.used_by_minion[minion.id] = taken
-        return taken
+        used = self.used_by_minion.get(minion.id)
+        if used is None:
+            used = replace(self.table.usage_by_minion[minion.id])
+            self.used_by_minion[minion.id] = used
+        return used
 
     def task_counts(self, step_key):
         """Return the number of tasks of a step by minion, planned starts included."""
@@ -107,20 +107,20 @@
 
     def reserve(self, step_key, step, minion):
         """Reserve resources on `minion` for one more task of `step`."""
-        room = self.room(minion)
-        room.cpu_millicores += step.counted_millicores
-        room.memory_mb += step.memory_mb
-        room.accelerators += step.accelerators
+        used = self.room(minion)
+        used.cpu_millicores += step.counted_millicores
+        used.memory_mb += step.memory_mb
+        used.accelerators += step.accelerators
         counts = self.task_counts(step_key)
         counts[minion.id] = counts.get(minion.id, 0) + 1
 
     def release(self, step_key, step, minion):
         """Release the resources that `reserve` took for one task."""
         self.too_large_by_pool.pop(minion.pool, None)
-        room = self.room(minion)
-        room.cpu_millicores -= step.counted_millicores
-        room.memory_mb -= step.memory_mb
-        room.accelerators -= step.accelerators
+        used = self.room(minion)
+        used.cpu_millicores -= step.counted_millicores
+        used.memory_mb -= step.memory_mb
+        used.accelerators -= step.accelerators
         self.task_counts(step_key)[minion.id] -= 1
 
     def is_too_large(self, pool, step):
@@ -182,19 +182,19 @@
     Orders by priority, then long-running tasks before others, then jobs that
     can still meet their deadline before late ones, then by deadline.
     """
-    policy = table.policy(job)
+    current_queue = table.current_queue(job)
     step = job.spec.steps[step_number]
     now_ms, durations = plan_context.now_ms, plan_context.durations
-    late = is_late(policy, job, round_number, step_number, now_ms, durations)
-    due = due_ms(policy, job, round_number, durations)
-    return (policy.priority, not step.lasts, late, due)
+    late = is_late(current_queue, job, round_number, step_number, now_ms, durations)
+    due = due_ms(current_queue, job, round_number, durations)
+    return (current_queue.priority, not step.lasts, late, due)
 
 
 def place_step(work, job, key):
     """Yield the starts of one step that fit now; a gang starts all or nothing."""
     _, round_number, step_number = key
     step = job.spec.steps[step_number]
-    pool = work.table.policy(job).pool
+    pool = work.table.current_queue(job).pool
     if work.isolation.is_inactive and work.is_too_large(pool, step):
         return
     tasks = job.round_by_number[round_number].tasks_by_step[step_number]
@@ -231,9 +231,9 @@
         if minion is None and is_suspect:
             continue
         if minion is None:
-            policy = work.table.policy(job)
-            if is_unrestricted(policy, step):
-                work.note_too_large(policy.pool, step)
+            current_queue = work.table.current_queue(job)
+            if is_unrestricted(current_queue, step):
+                work.note_too_large(current_queue.pool, step)
             return
         work.reserve(key, step, minion)
         work.isolation.note_start(task, step, minion)
@@ -242,22 +242,22 @@
 
 def eligible_minions(work, job, key, step):
     """Yield the minions that may run tasks of a step, whatever their capacity."""
-    policy = work.table.policy(job)
+    current_queue = work.table.current_queue(job)
     permitted = work.plan_context.permitted_by_step.get(key)
-    if policy.advice is not None and permitted is None:
+    if current_queue.advice is not None and permitted is None:
         return
-    for minion in work.minions(policy.pool):
+    for minion in work.minions(current_queue.pool):
         if step.required_label and step.required_label not in minion.labels:
             continue
-        if policy.advice is not None and minion.id not in permitted:
+        if current_queue.advice is not None and minion.id not in permitted:
             continue
         yield minion
 
 
-def is_unrestricted(policy, step):
+def is_unrestricted(current_queue, step):
     """Whether `step` may run on any minion of the pool, whatever its capacity."""
     restricted = step.required_label or step.max_per_minion or step.same_rack
-    return not restricted and policy.advice is None
+    return not restricted and current_queue.advice is None
 
 
 def best_minion(work, key, step, candidates, is_suspect=False, avoided=()):
@@ -280,16 +280,16 @@
     for minion in candidates:
         if step.max_per_minion and task_counts.get(minion.id, 0) >= step.max_per_minion:
             continue
-        room = work.room(minion)
-        if not room.fits(minion, step):
+        used = work.room(minion)
+        if not used.fits(minion, step):
             continue
-        taken = room.cpu_millicores / max(1, minion.cpu_millicores)
+        utilization = used.cpu_millicores / max(1, minion.cpu_millicores)
         score = (
             minion.vm in avoided,
             bool(step.data_rack) and minion.rack != step.data_rack,
             step.lasts and minion.vm in work.vms_due,
             work.plan_context.penalty_by_minion.get(minion.id, 0.0),
-            taken if is_suspect else -taken,
+            utilization if is_suspect else -utilization,
         )
         if best is None or score < best_score:
             best, best_score = minion, score
--- a/hingepitch/jobs/rule.py
+++ b/hingepitch/jobs/rule.py
@@ -140,15 +140,15 @@
 def placement_rejection(table, job, key, minion):
     """Return why a task may not run on a minion; empty if it may."""
     step = job.spec.steps[key.step]
-    if minion.pool != table.policy(job).pool:
+    if minion.pool != table.current_queue(job).pool:
         return "the minion belongs to another pool"
     if step.required_label and step.required_label not in minion.labels:
         return "the minion lacks the required label"
     if step.max_per_minion:
-        carried = table.run_counts_by_step.get(key[:3], {}).get(minion.id, 0)
-        if carried >= step.max_per_minion:
+        count = table.run_counts_by_step.get(key[:3], {}).get(minion.id, 0)
+        if count >= step.max_per_minion:
             return "the minion runs max_per_minion tasks of the step"
-    if not table.taken_by_minion[minion.id].fits(minion, step):
+    if not table.usage_by_minion[minion.id].fits(minion, step):
         return "the minion has too little free capacity"
     return ""
 
--- a/hingepitch/jobs/table.py
+++ b/hingepitch/jobs/table.py
@@ -109,7 +109,7 @@
         order in which they became ready.
     `repeated_jobs`
         Open jobs with rounds that have not been opened.
-    `taken_by_minion`
+    `usage_by_minion`
         The `ResourceUsage` that runs use, by minion incarnation.
     `run_counts_by_step`
         The number of runs by minion incarnation, by step.
@@ -137,7 +137,7 @@
         self.life_by_vm = {}
         self.run_by_task = {}
         self.runs_by_minion = {}
-        self.taken_by_minion = {}
+        self.usage_by_minion = {}
         self.run_counts_by_step = {}
         self.wave_by_number = {}
         self.move_by_vm = {}
@@ -241,7 +241,7 @@
             del self.ended_jobs[job_id]
             del self.job_by_id[job_id]
 
-    def policy(self, job):
+    def current_queue(self, job):
         """Return the queue of `job` as configured now.
 
         A queue that is no longer configured applies as it was at acceptance.
@@ -260,7 +260,7 @@
         self.run_by_task[run.task] = run
         self.changed_minions.add(run.minion)
         self.runs_by_minion.setdefault(run.minion, {})[run.task] = run
-        self.taken_by_minion.setdefault(run.minion, ResourceUsage()).add(run)
+        self.usage_by_minion.setdefault(run.minion, ResourceUsage()).add(run)
         self.run_counts_by_step.setdefault(step, Counter())[run.minion] += 1
 
     def drop_run(self, run):
@@ -269,12 +269,12 @@
         del self.run_by_task[run.task]
         self.changed_minions.add(run.minion)
         del self.runs_by_minion[run.minion][run.task]
-        self.taken_by_minion[run.minion].add(run, -1)
-        carried = self.run_counts_by_step[step]
-        carried[run.minion] -= 1
-        if not carried[run.minion]:
-            del carried[run.minion]
-        if not carried:
+        self.usage_by_minion[run.minion].add(run, -1)
+        counts = self.run_counts_by_step[step]
+        counts[run.minion] -= 1
+        if not counts[run.minion]:
+            del counts[run.minion]
+        if not counts:
             del self.run_counts_by_step[step]
 
     def start_run(self, start, number, at_ms):
@@ -358,7 +358,7 @@
             self.gang_tasks(job, end.task)[0] if step.gang else self.task(end.task)
         )
         counted.failures += 1
-        if counted.failures >= self.policy(job).attempts:
+        if counted.failures >= self.current_queue(job).attempts:
             job.failure = f"{format_task(end.task)} failed {counted.failures} times"
             self.end_job(job, JobStatus.FAILED, at_ms)
 
@@ -398,7 +398,7 @@
         if self.move_by_vm.get(minion.vm) == minion.pool:
             del self.move_by_vm[minion.vm]
         self.runs_by_minion.setdefault(minion.id, {})
-        self.taken_by_minion.setdefault(minion.id, ResourceUsage())
+        self.usage_by_minion.setdefault(minion.id, ResourceUsage())
 
     def remove_minion(self, life, at_ms):
         """End a minion incarnation and its runs; record a crash unless planned."""
@@ -410,7 +410,7 @@
         for run in list(self.runs_by_minion.get(life, {}).values()):
             self.end_run(lost_run_end(run), at_ms)
         self.runs_by_minion.pop(life, None)
-        self.taken_by_minion.pop(life, None)
+        self.usage_by_minion.pop(life, None)
         if self.life_by_vm.get(minion.vm) == life:
             del self.life_by_vm[minion.vm]
         self.ended_lives[life] = None
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -152,7 +152,7 @@
     assert wait_until(lambda: here.dispatcher.session is not None, SECONDS)
     assert wait_until(lambda: here.dispatcher.session.agent_by_minion, SECONDS)
     agent = here.dispatcher.session.agent_by_minion[minion.life]
-    assert wait_until(lambda: not agent.looks.is_needed(), SECONDS)
+    assert wait_until(lambda: not agent.status_poller.is_needed(), SECONDS)
     minion.faults.looks.append("dropped")
     here.submit(Step(1))
     here.wait_status(JobStatus.SUCCEEDED, 2.2)
--- a/tests/test_duration.py
+++ b/tests/test_duration.py
@@ -82,17 +82,17 @@
     log.send(commands.PutQueues(make_config()))
     log.submit(Step(1, estimate_ms=100))
     job = log.table.job_by_id[JOB]
-    policy = log.table.policy(job)
+    current_queue = log.table.current_queue(job)
     durations = Durations()
-    before = due_ms(policy, job, 0, durations)
+    before = due_ms(current_queue, job, 0, durations)
     now_ms = before - 200
-    assert not is_late(policy, job, 0, 0, now_ms, durations)
+    assert not is_late(current_queue, job, 0, 0, now_ms, durations)
     step = Step(1, estimate_ms=100)
     for _ in range(20):
-        durations.note(policy.route, step, 1100)
-    grown = due_ms(policy, job, 0, durations) - before
-    assert grown == pytest.approx(policy.stretch * 1000, rel=0.01)
-    assert policy.route == (HOST, "/q/")
+        durations.note(current_queue.route, step, 1100)
+    grown = due_ms(current_queue, job, 0, durations) - before
+    assert grown == pytest.approx(current_queue.stretch * 1000, rel=0.01)
+    assert current_queue.route == (HOST, "/q/")
 
 
 def test_a_leader_learns_from_the_runs_that_end():
--- a/tests/test_earlier_forms.py
+++ b/tests/test_earlier_forms.py
@@ -20,7 +20,7 @@
 from hingepitch.control.message import Entry, EntryKind, Member
 from hingepitch.control.snapshot import Snapshot
 from hingepitch.control.storage import Storage
-from standin.powerdisk import Call, PowerDisk, left_of
+from standin.powerdisk import Call, PowerDisk, surviving_writes
 
 EARLIER = Path(__file__).parent / "data" / "earlier"
 EXPECTED = json.loads((EARLIER / "expected.json").read_text())
@@ -221,7 +221,7 @@
             for start, end in zip(edges, edges[1:], strict=False)
         ]
         left = bytearray(len(whole[name]))
-        for piece in left_of(pieces, rng):
+        for piece in surviving_writes(pieces, rng):
             left[piece.offset : piece.offset + len(piece.data)] = piece.data
         (folder / name).write_bytes(left[: rng.randrange(len(left) + 1)])
         audit = open_trail(folder)
--- a/tests/test_job_plan.py
+++ b/tests/test_job_plan.py
@@ -188,8 +188,8 @@
     log = make_log(make_minion(1))
     log.submit(Step(2, cpu_millicores=1000, memory_mb=100, estimate_ms=500))
     job = next(iter(log.table.job_by_id.values()))
-    policy = log.table.policy(job)
-    due = job.accepted_ms + policy.objective_ms + policy.stretch * 500
+    current_queue = log.table.current_queue(job)
+    due = job.accepted_ms + current_queue.objective_ms + current_queue.stretch * 500
     in_time = measure_pools(log.table, due - 500, Durations())["pool"]
     assert (in_time.waiting, in_time.waiting_late) == (2000, 0)
     late = measure_pools(log.table, due - 499, Durations())["pool"]
--- a/tests/test_job_rules.py
+++ b/tests/test_job_rules.py
@@ -239,9 +239,9 @@
     log.start(task())
     assert log.send(commands.CancelJob(JOB, 0)) == ""
     assert log.start(task(index=1)) == [False]
-    assert log.table.taken_by_minion["i-1"].cpu_millicores == 3000
+    assert log.table.usage_by_minion["i-1"].cpu_millicores == 3000
     log.end(task(), RunResult.STOPPED)
-    assert log.table.taken_by_minion["i-1"].cpu_millicores == 0
+    assert log.table.usage_by_minion["i-1"].cpu_millicores == 0
     assert log.status is JobStatus.CANCELLED
     assert log.send(commands.CancelJob("00000000000000ff", 0)) == "unknown_job"
 
@@ -357,6 +357,6 @@
     log.send(commands.BeginUpkeep(1, "vm-1", 0))
     copy = State.from_snapshot(log.state.to_snapshot())
     assert copy.to_snapshot() == log.state.to_snapshot()
-    for index in ("ready_steps", "repeated_jobs", "taken_by_minion", "carried_by_step"):
+    for index in ("ready_steps", "repeated_jobs", "usage_by_minion", "run_counts_by_step"):
         assert getattr(copy.jobs, index) == getattr(log.table, index)
     assert copy.jobs.runs_by_minion == log.table.runs_by_minion
--- a/tests/test_lasting_leases.py
+++ b/tests/test_lasting_leases.py
@@ -22,8 +22,8 @@
 from hingepitch.httpd import wait_until
 from hingepitch.jobs.contact import Reply, ReplyKind
 from hingepitch.jobs.poller import (
-    ANSWER_SECONDS,
     MAX_WAIT_LEASE_FRACTION,
+    POLL_TIMEOUT_MARGIN_SECONDS,
     RETRY_SECONDS,
 )
 from hingepitch.jobs.record import RunResult
@@ -129,7 +129,7 @@
 @pytest.mark.parametrize("lost", [1, 2])
 def test_looks_lost_in_a_row_leave_room_in_the_lease_of_the_platform(lost):
     """The longest time between two renewals, a prompt question between them."""
-    answer = max(ANSWER_SECONDS, MAX_TIMEOUT_SECONDS)
+    answer = max(POLL_TIMEOUT_MARGIN_SECONDS, MAX_TIMEOUT_SECONDS)
     waits = MAX_WAIT_LEASE_FRACTION * PLATFORM_LEASE_SECONDS
     retries = (lost - 1) * (answer + RETRY_SECONDS)
     between = waits + (waits + answer) + retries + POLL_PAUSE_SECONDS
--- a/tests/test_load_lost_answers.py
+++ b/tests/test_load_lost_answers.py
@@ -122,7 +122,7 @@
     minion = MemoryMinion(task_seconds=0.2)
     here = rig(minion, terms=replace(TERMS, poll_wait_ms=500))
     agent = agents_of(here, 1)[0]
-    assert wait_until(lambda: not agent.looks.is_needed(), SECONDS)
+    assert wait_until(lambda: not agent.status_poller.is_needed(), SECONDS)
     minion.look_faults.append(True)
     here.submit(Step(1))
     here.wait_status(JobStatus.SUCCEEDED, 1.2)
@@ -134,7 +134,7 @@
     here = rig(minion, terms=replace(TERMS, lease_seconds=9.0, poll_wait_ms=5000))
     here.submit(Step(1, lasts=True))
     agent = agents_of(here, 1)[0]
-    assert wait_until(lambda: agent.looks.is_long_polling, SECONDS)
+    assert wait_until(lambda: agent.status_poller.is_long_polling, SECONDS)
     minion.start_faults += ["late", "late"]
     minion.late_seconds = 30
     here.log.submit(Step(1, lasts=True), job="f" * 16)
@@ -151,14 +151,14 @@
     assert wait_until(lambda: task() in agent.view_by_task, SECONDS)
     view = agent.view_by_task[task()]
     assert wait_until(lambda: view.status is RunViewStatus.RUNNING, SECONDS)
-    looks = StatusPoller(agent)
-    looks.polled_at = 10.0
+    status_poller = StatusPoller(agent)
+    status_poller.polled_at = 10.0
     view.row = None
-    looks.process_result(
+    status_poller.process_result(
         PollResult(minion.reply(), (RunningRow(task(), 1, "", 7),)), 9.0, 0
     )
     assert view.row is None
-    looks.process_result(
+    status_poller.process_result(
         PollResult(minion.reply(), (RunningRow(task(), 1, "", 7),)), 11.0, 0
     )
     assert view.row.percent == 7
--- a/tests/test_metric.py
+++ b/tests/test_metric.py
@@ -74,5 +74,5 @@
     metrics = Metrics("test")
     gauge = DispatchGauge(metrics, None)
     gauge.note_minions([agent(is_unresponsive=True)], 0.0)
-    gauge.show_nothing()
+    gauge.reset_gauges()
     assert 'hingepitch_minions{program="test",state="silent"} 0' in render_text(metrics)
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -170,8 +170,8 @@
 
     passes = 0
 
-    def forget(self):
-        super().forget()
+    def forget_ended_jobs(self):
+        super().forget_ended_jobs()
         self.passes += 1
         assert self.passes < 1000, "the loop does not yield"
 
--- a/tests/test_peerregistry.py
+++ b/tests/test_peerregistry.py
@@ -7,14 +7,14 @@
 
 from hingepitch.jobs.question import MemberRow
 from hingepitch.peerregistry import PeerRegistry
-from standin.powerdisk import NotingDisk
+from standin.powerdisk import RecordingDisk
 
 ROWS = [MemberRow("n9", "10.0.0.9:7060", True)]
 
 
 def test_the_registry_is_synced_before_it_replaces_the_old_file(tmp_path):
     calls = []
-    disk = NotingDisk(lambda call: calls.append(call.name))
+    disk = RecordingDisk(lambda call: calls.append(call.name))
     PeerRegistry([], tmp_path, disk).update_rows(ROWS)
     assert calls[-3:] == ["sync", "rename", "sync_folder"]
 
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -52,7 +52,7 @@
     assert wait_until(lambda: len(minion.running) == 2, SECONDS)
     session = rig.dispatcher.session
     (agent,) = session.agent_by_minion.values()
-    assert wait_until(lambda: agent.looks.polled_at > 0, SECONDS)
+    assert wait_until(lambda: agent.status_poller.polled_at > 0, SECONDS)
     rig.relays[0].stall_connections()
     unresponsive_at = lease_seconds()
     for name in list(minion.running):
--- a/tests/test_task_starvation.py
+++ b/tests/test_task_starvation.py
@@ -45,7 +45,7 @@
     for minion in table.minion_by_id.values():
         if step.required_label and step.required_label not in minion.labels:
             continue
-        here = slots_on(step, minion, table.taken_by_minion[minion.id])
+        here = slots_on(step, minion, table.usage_by_minion[minion.id])
         if step.max_per_minion:
             here = min(here, step.max_per_minion - carried.get(minion.id, 0))
         total += max(0, here)
@@ -54,7 +54,7 @@
 
 def is_half_free(log):
     """Whether less than half of the CPU of the pool is in use."""
-    taken = log.table.taken_by_minion.values()
+    taken = log.table.usage_by_minion.values()
     capacity = MINION_MILLICORES * len(log.table.minion_by_id)
     return 2 * sum(one.cpu_millicores for one in taken) < capacity
 
