--- a/hingepitch/model/selector.py
+++ b/hingepitch/model/selector.py
@@ -54,7 +54,7 @@
         if match:
             groups = match.groupdict()
             return groups["key"], make(groups["key"], allowed_values(groups))
-    raise HingepitchError("bad_selector", f"cannot parse the requirement {text!r}")
+    raise HingepitchError("bad_selector", f"cannot parse {text!r}")
 
 
 def allowed_values(groups):
@@ -65,7 +65,7 @@
     if groups.get("set") is not None:
         for value in values:
             if not VALUE_IN_SET.match(value):
-                raise HingepitchError("bad_selector", f"invalid value {value!r}")
+                raise HingepitchError("bad_selector", f"bad value {value!r}")
     return frozenset(values)
 
 
--- a/standin/faults.py
+++ b/standin/faults.py
@@ -104,7 +104,8 @@
             (
                 "exchange.py",
                 "        except gevent.Timeout:\n            sock.close()",
-                "        except gevent.Timeout:\n            self.release_connection(sock)",
+                "        except gevent.Timeout:\n"
+                "            self.release_connection(sock)",
             ),
             (
                 "exchange.py",
--- a/tests/test_job_rules.py
+++ b/tests/test_job_rules.py
@@ -357,6 +357,11 @@
     log.send(commands.BeginUpkeep(1, "vm-1", 0))
     copy = State.from_snapshot(log.state.to_snapshot())
     assert copy.to_snapshot() == log.state.to_snapshot()
-    for index in ("ready_steps", "repeated_jobs", "usage_by_minion", "run_counts_by_step"):
+    for index in (
+        "ready_steps",
+        "repeated_jobs",
+        "usage_by_minion",
+        "run_counts_by_step",
+    ):
         assert getattr(copy.jobs, index) == getattr(log.table, index)
     assert copy.jobs.runs_by_minion == log.table.runs_by_minion
