--- a/hingepitch/admin/program.py
+++ b/hingepitch/admin/program.py
@@ -170,7 +170,7 @@
 
 
 def explain(kind: str, name: str, *, settings: str = DEFAULT_SETTINGS):
-    """Explain why a job waits or has failed, or why a VM may not leave.
+    """Explain why a job waits or has failed, or why a VM may not leave service.
 
     :param kind: job, queued-job or vm
     :param name: name of the job or VM
--- a/hingepitch/control/consensus.py
+++ b/hingepitch/control/consensus.py
@@ -60,13 +60,14 @@
 #: Ticks between two heartbeat rounds of a leader.
 HEARTBEAT_TICKS = 2
 
-#: Election timeouts without a leader after which a replica that may not serve
-#: stands for election too. By then the replicas that may serve have failed to win
-#: an election, because they lack entries that this replica has.
+#: Election timeouts without a leader after which a replica that cannot apply the
+#: log (`may_lead` is False) stands for election too. By then the replicas that can
+#: apply it have failed to win an election, because they lack entries that this
+#: replica has.
 CARETAKER_ELECTIONS = 3
 
-#: Ticks between two leadership transfers of a caretaker leader; an election
-#: takes fewer.
+#: Ticks between two leadership transfers of a caretaker leader, which cannot apply
+#: the log and so must not keep the leadership; an election takes fewer.
 TRANSFER_TICKS = 4
 
 #: Ticks after which an unacknowledged snapshot is sent again.
@@ -137,8 +138,8 @@
         no requests, and transfers the leadership to a voter that has the
         complete log.
     `missed_elections`
-        Consecutive election timeouts in which a replica that may not serve
-        heard no leader.
+        Consecutive election timeouts in which a replica that may not lead
+        heard from no leader.
     `last_transfer_target`
         The follower that a caretaker leader last asked to start an election.
     `durable_index`
@@ -214,8 +215,6 @@
         """Whether this replica leads and accepts commands and reads."""
         return self.role == LEADER and self.may_lead
 
-    # Events.
-
     @singledispatchmethod
     def handle(self, event):
         """Handle one event; the implementation depends on its type."""
@@ -318,8 +317,6 @@
             self.become_follower(message.term, message.sender if leads else "")
         HANDLER_BY_KIND[message.kind](self, message)
 
-    # Elections.
-
     def draw_election_ticks(self):
         """Return a new random election timeout, in ticks."""
         bounds = ELECTION_TICKS if self.has_heard_leader else FIRST_ELECTION_TICKS
@@ -447,8 +444,6 @@
         voters = set(self.voters)
         return len(voters.intersection(identities)) * 2 > len(voters)
 
-    # Roles.
-
     def set_role(self, role, leader):
         """Set the role and the known leader; report a change to the driver."""
         self.has_heard_leader = self.has_heard_leader or bool(leader)
@@ -497,8 +492,6 @@
             self.emit(Refuse(token, "not_leader"))
         self.reads = []
 
-    # Leader.
-
     def tick_leader(self):
         """Send heartbeats when due; step down when no quorum responds."""
         for progress in self.progress_by_identity.values():
@@ -755,8 +748,6 @@
                 self.emit(ReadReady(token, index))
             self.reads = [read for read in self.reads if read[0] > last]
 
-    # Follower.
-
     def on_append(self, message):
         """Accept or reject entries from the leader."""
         if message.term < self.term:
--- a/hingepitch/control/message.py
+++ b/hingepitch/control/message.py
@@ -136,7 +136,7 @@
     entries: list[Entry] = field(default_factory=list)
 
 
-# Events.
+# Events: the input of `Consensus.step`.
 
 
 @dataclass(frozen=True, slots=True)
@@ -202,7 +202,7 @@
     """Request to transfer the leadership to the most up-to-date active voter."""
 
 
-# Actions.
+# Actions: the output of `Consensus.step`, for the driver to execute.
 
 
 @dataclass(frozen=True, slots=True)
--- a/hingepitch/control/operator.py
+++ b/hingepitch/control/operator.py
@@ -182,7 +182,7 @@
         resp.media = plain_record(record)
 
     def on_get_explain(self, req, resp, kind, name):
-        """Respond with the reasons why a job waits or a VM may not leave."""
+        """Respond with the reasons why a job waits or a VM may not leave service."""
         self.authenticator.operator(req)
         state = self.confirm_state()
         if kind == QUEUED_JOB:
--- a/hingepitch/control/replica.py
+++ b/hingepitch/control/replica.py
@@ -148,8 +148,6 @@
         self.read_fault = NOT_OPEN
         self.must_reopen = False
 
-    # Life cycle.
-
     def open(self):
         """Open the data folder and recover from it."""
         recovered = self.storage.open()
@@ -285,8 +283,6 @@
         self.inbox.append(event)
         self.wakeup.set()
 
-    # Interface for the other components of this process.
-
     @property
     def is_open(self):
         """Whether the data folder was opened, so that the identity is known."""
@@ -398,8 +394,6 @@
         """Transfer the leadership to another replica, for a planned stop."""
         self.put(TransferLeadership())
 
-    # Event loop.
-
     def handle_events(self):
         """Step the core with all queued events, then execute all its actions."""
         actions = []
@@ -543,8 +537,6 @@
         for result in results + reads:
             result.set_exception(self.storage_error())
 
-    # Applying entries.
-
     def apply_up_to(self, index):
         """Apply the committed entries up to `index`; stop at an unreadable entry.
 
@@ -627,8 +619,6 @@
             )
         return outcome
 
-    # Snapshots.
-
     def snapshot_if_due(self):
         """Write a snapshot and compact the log if enough entries were applied."""
         if self.read_fault:
--- a/hingepitch/jobs/arrival.py
+++ b/hingepitch/jobs/arrival.py
@@ -19,8 +19,8 @@
 WINDOW_SECONDS = 0.5
 
 #: Number of standard errors subtracted from the number of arrivals. Source: an
-#: unneeded VM costs about 2 VM-seconds, a late job the work of several; with 1.0,
-#: VMs were ordered one arrival later.
+#: unneeded VM costs about 2 VM-seconds, a late job as much as the work of several
+#: jobs; with 1.0, VMs were ordered one arrival later.
 SUBTRACTED_ERRORS = 0.5
 
 
--- a/hingepitch/jobs/blame.py
+++ b/hingepitch/jobs/blame.py
@@ -39,8 +39,9 @@
 #: plus the time for its answer.
 MAX_DETECTION_SECONDS = 1.5
 
-#: Minions of one pool that become unresponsive at the same time have a common
-#: cause, not one task each, from this number and this fraction of the pool on.
+#: Minimum number, and minimum fraction of a pool's minions, that must become
+#: unresponsive at the same time to count as lost from one common cause, instead of
+#: a crash by one task on each.
 MIN_COMMON_CAUSE_LOSSES = 3
 COMMON_CAUSE_FRACTION = 1 / 4
 
--- a/hingepitch/jobs/contact.py
+++ b/hingepitch/jobs/contact.py
@@ -141,7 +141,8 @@
     """A run in progress, as a minion lists it.
 
     `percent`
-        Progress of the run; a long-running task is at work from 100.
+        Progress of the run; from 100, a long-running task is at work, that is,
+        has warmed up.
     `load`
         Tail latency in milliseconds of a serving task, otherwise the millicores
         in use; an estimate over the last half second.
--- a/hingepitch/jobs/crash.py
+++ b/hingepitch/jobs/crash.py
@@ -21,7 +21,7 @@
     "Blame",
     "CrashRegistry",
     "CrashRecord",
-    "LifeBlame",
+    "IncarnationBlame",
     "Suspicion",
 ]
 
@@ -86,7 +86,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LifeBlame:
+class IncarnationBlame:
     """The `Blame` that applies if the unresponsive incarnation `life` has ended."""
 
     life: str
@@ -224,9 +224,9 @@
         return blame
 
     def to_content(self):
-        """Return the lists of `CrashRecord` and `LifeBlame` for a snapshot."""
+        """Return the lists of `CrashRecord` and `IncarnationBlame` for a snapshot."""
         records = [one for records in self.by_job.values() for one in records.values()]
-        silent = [LifeBlame(*pair) for pair in self.blame_by_life.items()]
+        silent = [IncarnationBlame(*pair) for pair in self.blame_by_life.items()]
         return records, silent
 
     @classmethod
--- a/hingepitch/jobs/duration.py
+++ b/hingepitch/jobs/duration.py
@@ -27,7 +27,7 @@
 
 #: Rounding tolerance: the weights of a step's tasks, such as thirds, may add up
 #: to slightly less than 1.
-WHOLE_STEP_SLACK = 1e-9
+WEIGHT_TOLERANCE = 1e-9
 
 #: Standard error of the logarithm of an estimate before enough steps were
 #: observed. Source: callers' estimates are off by a half to nine tenths; the
@@ -100,7 +100,7 @@
         self.xy = decay * self.xy + weight * x * y
         self.yy = decay * self.yy + weight * y * y
         self.weight_since_fit += weight
-        if self.weight_since_fit >= 1 - WHOLE_STEP_SLACK:
+        if self.weight_since_fit >= 1 - WEIGHT_TOLERANCE:
             self.refresh()
 
     def refresh(self):
--- a/hingepitch/jobs/health.py
+++ b/hingepitch/jobs/health.py
@@ -15,9 +15,10 @@
 #: How long evidence counts, in seconds; then the minion is tried again.
 EVIDENCE_SECONDS = 10.0
 
-#: Number of different jobs in trouble on a minion from which the planner avoids it,
-#: and from which it gets no runs unless a run has succeeded there since. A single
-#: job may fail on every minion by its own fault; three at once rarely do.
+#: Number of different jobs with failed or stalled runs on a minion from which on
+#: the planner avoids the minion, and from which on the minion gets no runs unless a
+#: run has succeeded there since. A single job may fail on every minion by its own
+#: fault; three at once rarely do.
 AVOIDED_FROM_JOBS = 2
 EXCLUDED_FROM_JOBS = 3
 
@@ -25,8 +26,9 @@
 #: four status polls, in which even a long, slowed task advances by one percent.
 STALL_SECONDS = 2.5
 
-#: The same for a gang member, which makes no progress until all members are
-#: present: longer than minions wait for the other members.
+#: Time without progress after which a gang member counts as stalled, in seconds.
+#: It makes no progress until all members are present, so this is longer than
+#: minions wait for the other members.
 GANG_STALL_SECONDS = 4.5
 
 
@@ -66,7 +68,7 @@
         self.succeeded_at = now
 
     def troubled_jobs(self, now):
-        """Return how many jobs were in trouble within `EVIDENCE_SECONDS`."""
+        """Return how many jobs had trouble on the minion in `EVIDENCE_SECONDS`."""
         fresh = {
             job: at
             for job, at in self.trouble_at_by_job.items()
--- a/hingepitch/jobs/isolation.py
+++ b/hingepitch/jobs/isolation.py
@@ -111,7 +111,7 @@
         return is_ready and task is not None and task.status is TaskStatus.WAITING
 
     def suspicion(self, key):
-        """Return the `Suspicion` of a task; none if overdue and not barred."""
+        """Return the `Suspicion` of a task; `NONE` if overdue and not `BARRED`."""
         suspicion = self.crashes.suspicion(key)
         if suspicion < Suspicion.BARRED and key in self.view.overdue:
             return Suspicion.NONE
--- a/hingepitch/jobs/mover.py
+++ b/hingepitch/jobs/mover.py
@@ -33,7 +33,7 @@
 #: Pause after a decision, as a multiple of its duration, so that decisions use
 #: at most a fifth of the CPU. Source: measuring pools with 999 waiting steps
 #: takes 13 ms; the delay is small against the 1.5 s that a move takes.
-DECISION_PAUSES = 4
+DECISION_PAUSE_FACTOR = 4
 
 #: Timeout of a call to the platform, in seconds.
 CALL_SECONDS = 2.0
@@ -124,7 +124,7 @@
             self.session.attempt("moves", self.step, config, began)
             # Measuring a long backlog is slow and must not starve other work.
             took = lease_seconds() - began
-            self.gather_seconds = max(GATHER_SECONDS, DECISION_PAUSES * took)
+            self.gather_seconds = max(GATHER_SECONDS, DECISION_PAUSE_FACTOR * took)
 
     def step(self, config, now):
         """Continue the moves in progress, then plan and begin new ones."""
--- a/hingepitch/jobs/pace.py
+++ b/hingepitch/jobs/pace.py
@@ -15,9 +15,10 @@
 
 FULL_PERCENT = 100
 
-#: Parts of a serving task's target latency: from `STOP_PART` on the fillers on
-#: its minion are paused, below `SPEED_UP_PART` they may work faster. Source: the
-#: tail latency is a rough estimate over half a second, so both keep a margin.
+#: Fractions of a serving task's target latency: from `STOP_PART` on, the fillers
+#: (tasks that use spare CPU time) on its minion are paused; below `SPEED_UP_PART`,
+#: they may work faster. Source: the tail latency is a rough estimate over half a
+#: second, so both keep a margin.
 STOP_PART = 0.8
 SPEED_UP_PART = 0.5
 
--- a/hingepitch/jobs/poller.py
+++ b/hingepitch/jobs/poller.py
@@ -40,7 +40,8 @@
 #: Pause after the second and later status polls in a row that failed, in seconds.
 RETRY_SECONDS = 0.25
 
-#: The same on a minion without runs, where no result is pending.
+#: Pause after the second and later failed polls in a row of a minion without runs,
+#: where no result is pending, in seconds.
 IDLE_RETRY_SECONDS = 2.0
 
 #: Pause while the leadership is not confirmed and no orders may be given, in
--- a/hingepitch/jobs/pool.py
+++ b/hingepitch/jobs/pool.py
@@ -25,7 +25,7 @@
         Part of the waiting tasks of late jobs that counts as demand. Such jobs
         are worth little, so their tasks run one after another in the capacity
         of the others. Source: with all of them counted, pools grew to three
-        times of what they used after each burst.
+        times the size that they used after each burst.
     `floor`
         Smallest number of minions of a pool with queues.
     `idle_seconds`
--- a/hingepitch/jobs/session.py
+++ b/hingepitch/jobs/session.py
@@ -473,7 +473,7 @@
             for minion_id, agent in self.agent_by_minion.items()
             if agent.may_start(now)
         }
-        usable -= self.upkeep.leaving_lives
+        usable -= self.upkeep.leaving_incarnations
         permitted = {
             step_key: self.permissions.permitted(step_key)
             for step_key in self.table.ready_steps
--- a/hingepitch/jobs/table.py
+++ b/hingepitch/jobs/table.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from hingepitch.jobs.command import RunEnd
-from hingepitch.jobs.crash import CrashRecord, CrashRegistry, LifeBlame
+from hingepitch.jobs.crash import CrashRecord, CrashRegistry, IncarnationBlame
 from hingepitch.jobs.queue import QueueConfig, QueueIndex
 from hingepitch.jobs.record import (
     JobRecord,
@@ -44,7 +44,7 @@
 
 #: Ended minion incarnations that are kept so that a delayed message cannot
 #: register one of them again.
-MAX_ENDED_LIVES = 4096
+MAX_ENDED_INCARNATIONS = 4096
 
 #: A long-running task that has run for this long, in milliseconds, is no longer
 #: suspected of crashing minions.
@@ -96,7 +96,7 @@
     ended_lives: list[str]
     moves: dict[str, str] = {}
     crashes: list[CrashRecord] = []
-    silent_lives: list[LifeBlame] = []
+    silent_lives: list[IncarnationBlame] = []
 
 
 class JobTable:
@@ -414,7 +414,7 @@
         if self.life_by_vm.get(minion.vm) == life:
             del self.life_by_vm[minion.vm]
         self.ended_lives[life] = None
-        while len(self.ended_lives) > MAX_ENDED_LIVES:
+        while len(self.ended_lives) > MAX_ENDED_INCARNATIONS:
             del self.ended_lives[next(iter(self.ended_lives))]
         if not is_planned:
             self.record_crash(blame, minion.vm, at_ms)
--- a/hingepitch/jobs/upkeep.py
+++ b/hingepitch/jobs/upkeep.py
@@ -42,10 +42,10 @@
 #: with 272 VMs, the median is 1.2 s and the 80th percentile 2.8 s.
 TURNAROUND_SECONDS = 1.2
 
-#: Part of the maintenance time after which an incarnation that was not known
-#: before is the one that followed the maintenance. Source: new incarnations are
-#: known 2.0 s after the order of a maintenance of 2 s; the margin covers the
-#: delay of the answer to the order.
+#: A minion incarnation that is first known later than this part of the maintenance
+#: time after the order is the one that followed the maintenance. Source: new
+#: incarnations are known 2.0 s after the order of a maintenance of 2 s; the margin
+#: covers the delay of the answer to the order.
 NEW_LIFE_PART = 0.9
 
 #: Part of the remaining time in which a wave is to end while tasks wait for VMs.
@@ -115,7 +115,7 @@
         self.listed_at = 0.0
 
     @property
-    def leaving_lives(self):
+    def leaving_incarnations(self):
         """Incarnations of minions that get no new runs because of maintenance."""
         lives = self.session.table.life_by_vm
         return {lives[vm] for vm in self.leaving_since_by_vm if vm in lives}
--- a/hingepitch/jobs/watch.py
+++ b/hingepitch/jobs/watch.py
@@ -29,7 +29,7 @@
 
 #: Long-poll wait on a minion where a long-running task is warming up, in
 #: milliseconds, and how long after its start this wait applies, in seconds. Until
-#: the task is seen at work, it counts against its step's disruption budget.
+#: the task is known to be at work, it counts against its step's disruption budget.
 WARMING_POLL_MS = 200
 WARMING_SECONDS = 2.0
 
@@ -121,7 +121,7 @@
         )
 
     def is_at_work(self, task):
-        """Whether a long-running task is known to be at work.
+        """Whether a long-running task is known to be at work: running and warmed up.
 
         The last status of an unresponsive minion does not count. A task that was
         listed as ended is not at work, even before its end is committed.
--- a/standin/capacity.py
+++ b/standin/capacity.py
@@ -2,8 +2,8 @@
 standin.capacity
 ~~~~~~~~~~~~~~~~
 
-Measures the slopes for docs/CAPACITY.md on small clusters and fleets in
-bounded time.
+Measures how resource use grows with the size of the system, on small clusters
+and fleets in bounded time: the slopes in docs/CAPACITY.md.
 
 :copyright: Copyright 2026 by the hingepitch maintainers.
 :license: BSD, see LICENSE for details.
--- a/standin/faults.py
+++ b/standin/faults.py
@@ -982,7 +982,7 @@
 
 
 def run(fault, base):
-    """Execution the test of a fault with the fault planted.
+    """Execute the test of a fault with the fault planted.
 
     Returns `(caught, line, seconds)`: whether the test failed, the first line of its
     error, and the duration.
