--- a/hingepitch/jobs/crash.py
+++ b/hingepitch/jobs/crash.py
@@ -21,7 +21,7 @@
     "Blame",
     "CrashRegistry",
     "CrashRecord",
-    "LifeBlame",
+    "IncarnationBlame",
     "Suspicion",
 ]
 
@@ -38,7 +38,7 @@
 
 #: Limit of unresponsive minion incarnations, not confirmed as crashed, whose
 #: suspected tasks are kept; the oldest are dropped first.
-MAX_SILENT_LIVES = 1024
+MAX_UNRESPONSIVE_INCARNATIONS = 1024
 
 
 class Suspicion(enum.IntEnum):
@@ -86,7 +86,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LifeBlame:
+class IncarnationBlame:
     """The `Blame` that applies if the unresponsive incarnation `life` has ended."""
 
     life: str
@@ -214,7 +214,7 @@
         blame = before.merged(blame)
         self.blame_by_life[life] = blame
         self.silent_exposed.update(blame.exposed)
-        while len(self.blame_by_life) > MAX_SILENT_LIVES:
+        while len(self.blame_by_life) > MAX_UNRESPONSIVE_INCARNATIONS:
             self.clear_suspicion(next(iter(self.blame_by_life)))
 
     def clear_suspicion(self, life):
@@ -224,9 +224,9 @@
         return blame
 
     def to_content(self):
-        """Return the lists of `CrashRecord` and `LifeBlame` for a snapshot."""
+        """Return the lists of `CrashRecord` and `IncarnationBlame` for a snapshot."""
         records = [one for records in self.by_job.values() for one in records.values()]
-        silent = [LifeBlame(*pair) for pair in self.blame_by_life.items()]
+        silent = [IncarnationBlame(*pair) for pair in self.blame_by_life.items()]
         return records, silent
 
     @classmethod
--- a/hingepitch/jobs/health.py
+++ b/hingepitch/jobs/health.py
@@ -15,18 +15,20 @@
 #: How long evidence counts, in seconds; then the minion is tried again.
 EVIDENCE_SECONDS = 10.0
 
-#: Number of different jobs in trouble on a minion from which the planner avoids it,
-#: and from which it gets no runs unless a run has succeeded there since. A single
-#: job may fail on every minion by its own fault; three at once rarely do.
-AVOIDED_FROM_JOBS = 2
-EXCLUDED_FROM_JOBS = 3
+#: Number of different jobs with failed or stalled runs on a minion from which on
+#: the planner avoids the minion, and from which on the minion gets no runs unless a
+#: run has succeeded there since. A single job may fail on every minion by its own
+#: fault; three at once rarely do.
+MIN_JOBS_TO_AVOID = 2
+MIN_JOBS_TO_EXCLUDE = 3
 
 #: Time without progress after which a task counts as stalled, in seconds. It spans
 #: four status polls, in which even a long, slowed task advances by one percent.
 STALL_SECONDS = 2.5
 
-#: The same for a gang member, which makes no progress until all members are
-#: present: longer than minions wait for the other members.
+#: Time without progress after which a gang member counts as stalled, in seconds.
+#: It makes no progress until all members are present, so this is longer than
+#: minions wait for the other members.
 GANG_STALL_SECONDS = 4.5
 
 
@@ -66,7 +68,7 @@
         self.succeeded_at = now
 
     def troubled_jobs(self, now):
-        """Return how many jobs were in trouble within `EVIDENCE_SECONDS`."""
+        """Return how many jobs had trouble on the minion in `EVIDENCE_SECONDS`."""
         fresh = {
             job: at
             for job, at in self.trouble_at_by_job.items()
@@ -77,10 +79,10 @@
 
     def avoidance(self, now):
         """Return 1.0 if the planner should avoid the minion, else 0.0."""
-        return float(self.troubled_jobs(now) >= AVOIDED_FROM_JOBS)
+        return float(self.troubled_jobs(now) >= MIN_JOBS_TO_AVOID)
 
     def is_unhealthy(self, now):
         """Whether the minion should get no new runs for now."""
-        if self.troubled_jobs(now) < EXCLUDED_FROM_JOBS:
+        if self.troubled_jobs(now) < MIN_JOBS_TO_EXCLUDE:
             return False
         return self.succeeded_at < max(self.trouble_at_by_job.values())
--- a/hingepitch/model/rules/job.py
+++ b/hingepitch/model/rules/job.py
@@ -15,7 +15,7 @@
 from hingepitch.model.rule import Refusal, apply_command, check_lifecycle, require
 from hingepitch.model.selector import matches, parse_selector
 
-__all__ = ["check_quota", "check_room", "drop_ended_jobs"]
+__all__ = ["check_quota", "check_capacity", "drop_ended_jobs"]
 
 #: Maximum number of ended jobs that are kept.
 MAX_ENDED_JOBS = 20_000
@@ -65,7 +65,7 @@
     check_lifecycle(vm, VmLifecycle.LIVE)
     if vm.pool != job.pool or not matches(job.selector, vm.labels):
         raise Refusal("not_selected", f"job {job.name} does not select {vm.name}")
-    check_room(state, job, vm)
+    check_capacity(state, job, vm)
     check_quota(state, job)
     placed = replace(
         job,
@@ -77,7 +77,7 @@
     state.put("job", job.name, placed, index)
 
 
-def check_room(state, job, vm):
+def check_capacity(state, job, vm):
     """Refuse a job that does not fit into the free capacity of `vm`."""
     for size in ("cores", "memory_gb", "accelerators"):
         jobs = state.jobs_by_vm[vm.name].values()
--- a/standin/faults.py
+++ b/standin/faults.py
@@ -602,7 +602,7 @@
     Fault(
         "jobs",
         "an earlier incarnation that is first seen late completes a maintenance",
-        (("jobs/upkeep.py", "NEW_LIFE_PART * self.upkeep_seconds", "0.0"),),
+        (("jobs/upkeep.py", "NEW_INCARNATION_PART * self.upkeep_seconds", "0.0"),),
         "back_once_its_next_life_is_known",
     ),
     Fault(
@@ -982,7 +982,7 @@
 
 
 def run(fault, base):
-    """Execution the test of a fault with the fault planted.
+    """Execute the test of a fault with the fault planted.
 
     Returns `(caught, line, seconds)`: whether the test failed, the first line of its
     error, and the duration.
--- a/tests/test_crash_book.py
+++ b/tests/test_crash_book.py
@@ -6,7 +6,12 @@
 import pytest
 
 from hingepitch.jobs import command as commands
-from hingepitch.jobs.crash import MAX_SILENT_LIVES, Blame, CrashRegistry, Suspicion
+from hingepitch.jobs.crash import (
+    MAX_UNRESPONSIVE_INCARNATIONS,
+    Blame,
+    CrashRegistry,
+    Suspicion,
+)
 from hingepitch.jobs.dispatch import Dispatcher
 from hingepitch.jobs.record import JobStatus, RunResult
 from hingepitch.jobs.roster import MinionRoster
@@ -127,10 +132,10 @@
 
 def test_lives_that_stay_silent_are_remembered_within_a_bound():
     book = CrashRegistry()
-    for number in range(MAX_SILENT_LIVES + 10):
+    for number in range(MAX_UNRESPONSIVE_INCARNATIONS + 10):
         book.suspect(f"i-{number}", CROWD)
-    assert len(book.blame_by_life) == MAX_SILENT_LIVES
-    assert book.silent_exposed[CULPRIT] == MAX_SILENT_LIVES
+    assert len(book.blame_by_life) == MAX_UNRESPONSIVE_INCARNATIONS
+    assert book.silent_exposed[CULPRIT] == MAX_UNRESPONSIVE_INCARNATIONS
 
 
 def test_a_snapshot_of_before_crashes_were_counted_is_read(log):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -40,7 +40,7 @@
 
 
 @pytest.mark.parametrize(
-    "check", ["check_budgets", "check_fence", "check_relabelled", "check_room"]
+    "check", ["check_budgets", "check_fence", "check_relabelled", "check_capacity"]
 )
 def test_checker_catches_a_missing_check(check, monkeypatch):
     for module in (apply_module, *RULES):
--- a/tests/test_repeated_actions.py
+++ b/tests/test_repeated_actions.py
@@ -72,7 +72,7 @@
 
 def test_a_task_that_stalls_on_every_minion_is_moved_ever_more_rarely(rig, monkeypatch):
     monkeypatch.setattr(health_module, "STALL_SECONDS", 0.3)
-    monkeypatch.setattr(health_module, "EXCLUDED_FROM_JOBS", 100)
+    monkeypatch.setattr(health_module, "MIN_JOBS_TO_EXCLUDE", 100)
     monkeypatch.setattr(watch_module, "STALLS_BEFORE_DOUBLING", 2)
     minions = [TaskMinion() for _ in range(3)]
     harness = rig(*minions)
