--- a/tests/order_world.py
+++ b/tests/order_world.py
@@ -1,7 +1,8 @@
-"""Leaders and minions whose calls and answers are late, lost and overtaken.
+"""Simulate leaders and minions whose calls and replies are delayed or lost.
 
-Time is real; each world has its own seed and shares the hub with others. The
-leaders are real dispatchers on one log; minions know what theirs promise.
+Time is real; each simulation has its own seed and shares the event loop with
+others. The leaders are real dispatchers on one log; the minions are stubs that
+keep the rules of the minion protocol.
 """
 
 import itertools
@@ -30,87 +31,89 @@
     lease_seconds=1.0, lapse_seconds=0.2, beat_seconds=0.3, look_wait_ms=500
 )
 
-#: A minion's steady clock is so much slower than ours.
-SLOWER = 0.02
+#: Part by which a minion's monotonic clock is slower than the leader's.
+CLOCK_DRIFT = 0.02
 
-#: A minion notices the end of a lease, and a task's end, this late, in seconds.
-STEP_SECONDS = 0.02
+#: Interval at which a minion checks whether its lease has expired, in seconds.
+LEASE_CHECK_SECONDS = 0.02
 
-#: Nobody is elected so soon after a quorum has answered the leader, in seconds.
+#: No other leader is elected for so long after a quorum has confirmed one, in
+#: seconds.
 ELECTION_SECONDS = 0.6
 
+#: Interval between the heartbeats of a minion, in seconds.
 BEAT_SECONDS = 0.2
 
-#: Part of the rounds in which something goes wrong beyond single calls.
-EVENT_PART = 0.6
+#: Probability that a round has a fault beyond those of single calls.
+FAULT_PROBABILITY = 0.6
 
-#: Longest time for a world, in seconds.
-LONGEST_SECONDS = 110
+#: Longest time for a simulation, in seconds.
+MAX_SIMULATION_SECONDS = 110
 
-#: Part of the lives after a crash that are over as soon as they have begun.
-BRIEF_PART = 0.4
+#: Probability that the incarnation after a crash soon crashes too.
+BRIEF_PROBABILITY = 0.4
 
-Fate = namedtuple("Fate", "request answer")
+Delays = namedtuple("Delays", "request answer")
 
 
 class Network:
-    """Decides what becomes of each call.
+    """Draws the delays and losses of calls and replies.
 
-    `harm`
-        Part of the calls that are late, lost or answered late.
+    `fault_rate`
+        Probability that a call is delayed or lost, or its reply is.
     """
 
-    def __init__(self, seed, harm):
+    def __init__(self, seed, fault_rate):
         self.random = random.Random(seed)
-        self.harm = harm
+        self.fault_rate = fault_rate
 
-    def fate(self):
-        """Return when a call arrives and its answer does; None: never."""
-        if self.random.random() >= self.harm:
-            return Fate(self.brief(), self.brief())
+    def draw_delays(self):
+        """Return the delays of a call and of its reply in seconds; None: lost."""
+        if self.random.random() >= self.fault_rate:
+            return Delays(self.short_delay(), self.short_delay())
         late = self.random.uniform(0.05, 1.6)
         return self.random.choice(
             (
-                Fate(None, None),
-                Fate(self.brief(), None),
-                Fate(late, self.brief()),
-                Fate(late, None),
-                Fate(self.brief(), late),
+                Delays(None, None),
+                Delays(self.short_delay(), None),
+                Delays(late, self.short_delay()),
+                Delays(late, None),
+                Delays(self.short_delay(), late),
             )
         )
 
-    def brief(self):
+    def short_delay(self):
         return self.random.uniform(0.0, 0.004)
 
     def happens(self, part):
         return self.random.random() < part
 
 
-class Life:
-    """One life of a minion: what runs there, and until when."""
+class Incarnation:
+    """One incarnation of a minion: its runs, its listed ends and its lease."""
 
     numbers = itertools.count(1)
 
-    def __init__(self, world, vm, address):
-        self.world = world
+    def __init__(self, simulation, vm, address):
+        self.simulation = simulation
         self.id = f"w-{next(self.numbers)}"
         self.vm = vm
         self.address = address
-        self.offset = world.network.random.uniform(-1000, 1000)
+        self.offset = simulation.network.random.uniform(-1000, 1000)
         self.fence = 0
         self.until_ms = 0
         self.running = {}
         self.barred = {}
         self.ended = []
         self.end_numbers = itertools.count(1)
-        self.news = Event()
+        self.end_listed = Event()
         self.is_up = True
         self.is_unhealthy = False
         self.ended_at = {}
-        self.lapsed_at = 0.0
+        self.expired_at = 0.0
 
     def clock_ms(self):
-        return int(lease_seconds() * (1 - SLOWER) * 1000 + self.offset * 1000)
+        return int(lease_seconds() * (1 - CLOCK_DRIFT) * 1000 + self.offset * 1000)
 
     def record(self):
         number = int(self.vm.split("-")[1])
@@ -121,10 +124,8 @@
     def reply(self, kind=ReplyKind.DONE):
         return Reply(kind, self.clock_ms())
 
-    # What an order does when it arrives.
-
     def refusal(self, life, fence):
-        """Return why a call is refused, or None."""
+        """Return the `Reply` that refuses a call, or None."""
         if self.is_unhealthy:
             return Reply(ReplyKind.UNHEALTHY)
         if life != self.id:
@@ -146,14 +147,14 @@
         if len(self.running) >= 5:
             return self.reply(ReplyKind.NO_ROOM)
         self.running[order.task] = order.number
-        self.world.note_start(self, order.task, order.number)
-        seconds = self.world.network.random.uniform(0.1, 0.6)
+        self.simulation.note_start(self, order.task, order.number)
+        seconds = self.simulation.network.random.uniform(0.1, 0.6)
         gevent.spawn_later(seconds, self.end, order.task, order.number, RunResult.DONE)
         return self.reply()
 
     def stop(self, order):
         self.barred[order.task] = max(order.number, self.barred.get(order.task, 0))
-        seconds = self.world.network.random.uniform(0.0, 0.05)
+        seconds = self.simulation.network.random.uniform(0.0, 0.05)
         gevent.spawn_later(
             seconds, self.end, order.task, order.number, RunResult.STOPPED
         )
@@ -164,17 +165,15 @@
             self.until_ms = max(self.until_ms, order.lease_until_ms)
         for end in self.ended:
             if end.sequence <= order.ends_taken:
-                self.note_taken(end)
+                self.note_recorded(end)
         self.ended = [end for end in self.ended if end.sequence > order.ends_taken]
         if not self.ended and order.wait_ms:
-            self.news.wait(order.wait_ms / 1000)
+            self.end_listed.wait(order.wait_ms / 1000)
         rows = tuple(
             RunningRow(task, number, "", 50) for task, number in self.running.items()
         )
         return Look(self.reply(), rows, tuple(self.ended))
 
-    # What happens by itself.
-
     def end(self, task, number, result):
         if not self.is_up or self.running.get(task) != number:
             return
@@ -182,32 +181,38 @@
         self.barred[task] = max(number, self.barred.get(task, 0))
         self.ended.append(EndedRun(next(self.end_numbers), task, number, result, ""))
         self.ended_at[self.ended[-1]] = lease_seconds()
-        self.news.set()
-        self.news = Event()
+        self.end_listed.set()
+        self.end_listed = Event()
 
-    def note_taken(self, end):
-        """Note that the leader knows an end; not if the lease was over since."""
-        if end.result is RunResult.DONE and self.ended_at[end] > self.lapsed_at:
-            self.world.taken.add(end.task)
+    def note_recorded(self, end):
+        """Note that the leader recorded an end.
+
+        An end from before the last expiry of the lease does not count: the leader
+        may have recorded that run as lost.
+        """
+        if end.result is RunResult.DONE and self.ended_at[end] > self.expired_at:
+            self.simulation.recorded_tasks.add(end.task)
 
-    def keep_lease(self):
+    def enforce_lease(self):
         while self.is_up:
-            gevent.sleep(STEP_SECONDS)
+            gevent.sleep(LEASE_CHECK_SECONDS)
             if self.clock_ms() > self.until_ms:
-                self.lapsed_at = lease_seconds()
+                self.expired_at = lease_seconds()
                 for task, number in list(self.running.items()):
                     self.end(task, number, RunResult.LAPSED)
 
-    def keep_beating(self):
-        """Tell the leader, again and again; now and then very late."""
+    def send_heartbeats(self):
+        """Send heartbeats until the crash; some are lost or delayed."""
         for sequence in itertools.count(1):
             if not self.is_up:
                 return
-            request = self.world.network.fate().request
+            request = self.simulation.network.draw_delays().request
             if request is not None:
-                late = 3 if self.world.network.happens(0.1) else 1
-                beat = NoteBeat(self.record(), sequence, self.clock_ms())
-                gevent.spawn_later(request * late, self.world.hear, beat)
+                late = 3 if self.simulation.network.happens(0.1) else 1
+                heartbeat = NoteBeat(self.record(), sequence, self.clock_ms())
+                gevent.spawn_later(
+                    request * late, self.simulation.receive_heartbeat, heartbeat
+                )
             gevent.sleep(BEAT_SECONDS)
 
     def crash(self):
@@ -215,11 +220,14 @@
         self.running = {}
 
 
-class FarClient:
-    """What a leader calls a life by: the address, and whoever has it."""
+class SimulatedClient:
+    """The client of an incarnation; calls go to its address.
 
-    def __init__(self, world, record):
-        self.world = world
+    Another incarnation that has this address by then replies in its place.
+    """
+
+    def __init__(self, simulation, record):
+        self.simulation = simulation
         self.address = record.address
         self.life = record.id
 
@@ -237,17 +245,22 @@
         return reply if isinstance(reply, Look) else Look(reply)
 
     def close(self):
-        """There are no connections."""
+        """Do nothing: there are no connections."""
 
     def call(self, kind, order, seconds):
-        """Call whoever is at the address when the call arrives."""
-        if self.world.network.happens(self.world.network.harm / 4):
+        """Call the incarnation that has the address when the call arrives."""
+        if self.simulation.network.happens(self.simulation.network.fault_rate / 4):
             return Reply(ReplyKind.NOT_SENT)
         answer = AsyncResult()
-        fate = self.world.network.fate()
-        if fate.request is not None:
+        delays = self.simulation.network.draw_delays()
+        if delays.request is not None:
             gevent.spawn_later(
-                fate.request, self.arrive, kind, order, answer, fate.answer
+                delays.request,
+                self.arrive,
+                kind,
+                order,
+                answer,
+                delays.answer,
             )
         try:
             return answer.get(timeout=seconds)
@@ -255,7 +268,7 @@
             return Reply(ReplyKind.UNSURE, detail="no answer in time")
 
     def arrive(self, kind, order, answer, answer_seconds):
-        present = self.world.life_by_address.get(self.address)
+        present = self.simulation.incarnation_by_address.get(self.address)
         if present is None or not present.is_up:
             return
         reply = present.refusal(self.life, order.fence)
@@ -265,29 +278,34 @@
             gevent.spawn_later(answer_seconds, answer.set, reply)
 
 
-class Member:
-    """One replica of a group whose log is shared: it leads, or thinks so.
+class SimulatedReplica:
+    """One replica of a group, with a dispatcher and a job service.
 
     `is_leader`
-        What it knows of itself; it learns late that another one leads.
+        Whether it takes itself for the leader; it stays true for a while after
+        another one was elected.
     """
 
-    def __init__(self, world, name):
-        self.world = world
+    def __init__(self, simulation, name):
+        self.simulation = simulation
         self.name = name
         self.is_leader = False
         self.core = SimpleNamespace(term=0, role="follower")
         self.changed = Event()
         self.roster = MinionRoster()
         self.dispatcher = Dispatcher(
-            self, self.roster, lambda record: FarClient(world, record), TERMS, name
+            self,
+            self.roster,
+            lambda record: SimulatedClient(simulation, record),
+            TERMS,
+            name,
         )
         self.service = JobService(self, self.roster, None, name)
         self.greenlet = gevent.spawn(self.dispatcher.run)
 
     @property
     def state(self):
-        return self.world.log.state
+        return self.simulation.log.state
 
     def lead(self, term):
         self.core.term = term
@@ -297,23 +315,31 @@
         self.is_leader = False
 
     def propose(self, envelope):
-        """Commit a command after a while, if this one still leads then."""
+        """Commit a command after a delay if this replica still leads then.
+
+        Raises `HingepitchError` if it does not, and with a small probability also
+        after the commit, whose outcome is then unknown to the caller.
+        """
         if not self.is_leader:
             raise HingepitchError("not_leader")
         term = self.core.term
-        gevent.sleep(self.world.commit_seconds())
-        if self.world.term != term:
+        gevent.sleep(self.simulation.commit_seconds())
+        if self.simulation.term != term:
             raise HingepitchError("lost_leadership")
-        outcome = self.world.commit(envelope)
-        gevent.sleep(self.world.network.brief())
-        if self.world.network.happens(self.world.network.harm / 10):
+        outcome = self.simulation.commit(envelope)
+        gevent.sleep(self.simulation.network.short_delay())
+        if self.simulation.network.happens(self.simulation.network.fault_rate / 10):
             raise HingepitchError("lost_leadership")
         return outcome
 
     def confirm(self):
         term = self.core.term
-        gevent.sleep(self.world.network.brief())
-        if not self.is_leader or self.world.term != term or self.world.is_deposing:
+        gevent.sleep(self.simulation.network.short_delay())
+        if (
+            not self.is_leader
+            or self.simulation.term != term
+            or self.simulation.is_electing
+        ):
             raise HingepitchError("not_leader")
 
     def wake(self):
@@ -321,42 +347,40 @@
         self.changed = Event()
 
 
-class OrderWorld:
-    """Two leaders in turn, a few minions, and what was seen to run.
+class OrderSimulation:
+    """Two replicas that lead in turn, and minions that check each start.
 
-    `twice`
-        What ran where it must not: texts.
+    `violations`
+        Texts on starts of a task that ran elsewhere or whose end was recorded.
     """
 
-    def __init__(self, seed, harm=0.35, minions=3):
-        self.network = Network(seed, harm)
+    def __init__(self, seed, fault_rate=0.35, minions=3):
+        self.network = Network(seed, fault_rate)
         self.log = Log()
         self.log.send(commands.PutQueues(make_config()))
         self.term = 0
-        self.is_deposing = False
-        self.lives = []
-        self.life_by_address = {}
-        self.taken = set()
-        self.twice = []
+        self.is_electing = False
+        self.incarnations = []
+        self.incarnation_by_address = {}
+        self.recorded_tasks = set()
+        self.violations = []
         self.begun = 0
         self.greenlets = []
-        self.members = [Member(self, "a"), Member(self, "b")]
+        self.members = [SimulatedReplica(self, "a"), SimulatedReplica(self, "b")]
         for number in range(minions):
-            self.begin_life(f"vm-{number}", f"10.0.0.{number}:80")
+            self.start_incarnation(f"vm-{number}", f"10.0.0.{number}:80")
         self.spawn(self.elect)
 
     def spawn(self, function, *arguments):
         self.greenlets.append(gevent.spawn(function, *arguments))
 
     def close(self):
-        for life in self.lives:
+        for life in self.incarnations:
             life.is_up = False
         gevent.killall(self.greenlets + [one.greenlet for one in self.members])
 
-    # The group.
-
     def commit_seconds(self):
-        if self.network.happens(self.network.harm / 5):
+        if self.network.happens(self.network.fault_rate / 5):
             return self.network.random.uniform(0.05, 0.8)
         return self.network.random.uniform(0.002, 0.02)
 
@@ -368,105 +392,99 @@
         return outcome
 
     def elect(self):
-        """Let the other one lead: at once, or with the earlier one unaware."""
-        self.is_deposing = True
+        """Elect the other replica; the earlier leader steps down up to 0.6 s later."""
+        self.is_electing = True
         gevent.sleep(ELECTION_SECONDS)
         earlier, later = self.members[self.term % 2], self.members[1 - self.term % 2]
         self.term += 1
-        self.is_deposing = False
+        self.is_electing = False
         later.lead(self.term)
         gevent.spawn_later(self.network.random.uniform(0.0, 0.6), earlier.follow)
 
     def fail_session(self):
-        """Let a child of the session fail, so that another one begins."""
+        """Let a greenlet of each session fail, so that another session begins."""
         for member in self.members:
             session = member.dispatcher.session
             if session is not None:
                 session.spawn(int, "no number")
 
-    def hear(self, beat):
+    def receive_heartbeat(self, heartbeat):
         for member in self.members:
             if member.is_leader:
                 try:
-                    member.service.answer(beat)
+                    member.service.answer(heartbeat)
                 except HingepitchError:
-                    continue  # It beats again.
-
-    # The minions.
-
-    def begin_life(self, vm, address):
-        life = Life(self, vm, address)
-        self.lives.append(life)
-        self.life_by_address[address] = life
-        self.spawn(life.keep_lease)
-        self.spawn(life.keep_beating)
-
-    def crash_one(self):
-        """Crash a life; the next ones of two VMs may change places."""
-        up = self.lives_up()
+                    continue  # Another heartbeat follows.
+
+    def start_incarnation(self, vm, address):
+        life = Incarnation(self, vm, address)
+        self.incarnations.append(life)
+        self.incarnation_by_address[address] = life
+        self.spawn(life.enforce_lease)
+        self.spawn(life.send_heartbeats)
+
+    def crash_minions(self):
+        """Crash one or two minions; two may come back with exchanged addresses."""
+        up = self.live_incarnations()
         count = min(len(up), self.network.random.choice((1, 2)))
         crashed = self.network.random.sample(up, count)
         addresses = [life.address for life in crashed]
         self.network.random.shuffle(addresses)
         for life, address in zip(crashed, addresses, strict=True):
             life.crash()
-            self.begin_later(life.vm, address)
+            self.start_incarnation_later(life.vm, address)
 
-    def begin_later(self, vm, address):
-        """Let the next life of a VM begin soon; a brief one is followed at once."""
+    def start_incarnation_later(self, vm, address):
+        """Start the next incarnation of a VM soon; it may crash soon after."""
         seconds = self.network.random.uniform(0.05, 0.8)
-        gevent.spawn_later(seconds, self.begin_life, vm, address)
-        if self.network.happens(BRIEF_PART):
+        gevent.spawn_later(seconds, self.start_incarnation, vm, address)
+        if self.network.happens(BRIEF_PROBABILITY):
             seconds += self.network.random.uniform(0.02, 0.3)
-            gevent.spawn_later(seconds, self.replace_life, vm, address)
+            gevent.spawn_later(seconds, self.replace_incarnation, vm, address)
 
-    def replace_life(self, vm, address):
-        """Crash a life, and begin the next one at once."""
-        self.life_by_address[address].crash()
-        self.begin_life(vm, address)
+    def replace_incarnation(self, vm, address):
+        """Crash the incarnation at an address and start the next one at once."""
+        self.incarnation_by_address[address].crash()
+        self.start_incarnation(vm, address)
 
     def make_unhealthy(self):
         for life in self.network.random.sample(
-            self.lives_up(), min(1, len(self.lives_up()))
+            self.live_incarnations(), min(1, len(self.live_incarnations()))
         ):
             life.is_unhealthy = True
             gevent.spawn_later(0.4, setattr, life, "is_unhealthy", False)
 
-    def lives_up(self):
-        return [life for life in self.lives if life.is_up]
-
-    # What is seen.
+    def live_incarnations(self):
+        return [life for life in self.incarnations if life.is_up]
 
     def note_start(self, life, task, number):
         self.begun += 1
         others = [
             f"{other.id} run {run}"
-            for other in self.lives
+            for other in self.incarnations
             for present, run in other.running.items()
             if present == task and other is not life and other.is_up
         ]
         if others:
-            self.twice.append(f"{task} run {number} on {life.id} beside {others}")
-        if task in self.taken:
-            self.twice.append(f"{task} run {number} after its end was taken")
-
-    # A day.
+            self.violations.append(f"{task} run {number} on {life.id} beside {others}")
+        if task in self.recorded_tasks:
+            self.violations.append(f"{task} run {number} after its end was recorded")
 
-    def play(self, rounds, runs):
-        """Let everything go wrong for so many rounds, and until `runs` have begun.
+    def run(self, rounds, runs):
+        """Inject faults for `rounds` rounds at least, and until `runs` have started.
 
-        Raises TimeoutError if that takes longer than `LONGEST_SECONDS`.
+        Raises `TimeoutError` if that takes longer than `MAX_SIMULATION_SECONDS`.
         """
-        until = lease_seconds() + LONGEST_SECONDS
+        until = lease_seconds() + MAX_SIMULATION_SECONDS
         for number in itertools.count():
             if number >= rounds and self.begun >= runs:
                 return
             if lease_seconds() > until:
                 raise TimeoutError(f"{self.begun} runs in {number} rounds")
-            self.play_round(number)
+            self.run_round(number)
 
-    def play_round(self, number):
-        """Submit a job, and let something go wrong now and then."""
+    def run_round(self, number):
+        """Submit a job, then inject a fault with probability `FAULT_PROBABILITY`."""
         self.log.submit(Step(3), Step(2, after=(0,)), job=f"{number:016x}")
         for member in self.members:
             member.wake()
@@ -476,9 +494,9 @@
                 self.elect,
                 self.fail_session,
                 self.fail_session,
-                self.crash_one,
+                self.crash_minions,
                 self.make_unhealthy,
             )
         )
-        if self.network.happens(EVENT_PART):
+        if self.network.happens(FAULT_PROBABILITY):
             event()
--- a/tests/test_agent_failure.py
+++ b/tests/test_agent_failure.py
@@ -1,12 +1,10 @@
-"""A gang whose job has further due times, on two minions.
-
-Seen while the lapses of lasting tasks were looked into: the leader never
-looked at a minion again, so all leases there lapsed, and what ran there stayed
-recorded for the rest of the leadership. How it came about: the first member's
-end ended the whole gang and closed its round; the next member's end came from
-another minion, and learning how long it took asked for its task, which was
-gone. The error ended the greenlet that looks at that minion. Proof: this test,
-with the error's trace in its output.
+"""Ends of gang members that arrive after their round was closed.
+
+In a job with further due times, the end of the first member ended the whole gang
+and closed its round. When another minion reported the end of the next member,
+recording its duration looked up a task that no longer existed. The error ended
+the greenlet that polls that minion, so all leases there expired, and its runs
+stayed recorded for the rest of the leadership.
 """
 
 import pytest
@@ -16,21 +14,21 @@
 from tests.memory_minion import MemoryMinion
 from tests.test_dispatch import Rig
 
-#: More than half of a minion's processors: one member on each.
+#: More than half of a minion's CPU capacity, so that each minion gets one member.
 MEMBER_MILLICORES = 9000
 
 
 @pytest.fixture
-def rig():
+def harness():
     minions = {one.life: one for one in (MemoryMinion(), MemoryMinion())}
     made = Rig(*minions.values(), connect=lambda record: minions[record.id])
     yield made
     made.close()
 
 
-def test_each_member_of_a_gang_may_end_after_its_round_has_closed(rig):
+def test_each_member_of_a_gang_may_end_after_its_round_has_closed(harness):
     step = Step(2, MEMBER_MILLICORES, gang=True)
-    rig.log.submit(step, times=3, interval_ms=1)
-    rig.replica.wake()
-    rig.wait_status(JobStatus.SUCCEEDED)
-    assert not rig.log.table.run_by_task
+    harness.log.submit(step, times=3, interval_ms=1)
+    harness.replica.wake()
+    harness.wait_status(JobStatus.SUCCEEDED)
+    assert not harness.log.table.run_by_task
--- a/tests/test_runs_once.py
+++ b/tests/test_runs_once.py
@@ -1,32 +1,34 @@
-"""No task runs twice at once, whatever becomes of calls and answers."""
+"""No task runs twice at once, however calls and replies are delayed or lost."""
 
 import gevent
 import pytest
 
-from tests.order_world import OrderWorld
+from tests.order_world import OrderSimulation
 
-#: Worlds that share the hub at a time.
-WORLDS_AT_ONCE = 8
+#: Simulations that share the event loop at a time.
+SIMULATIONS_AT_ONCE = 8
 
-#: How long each is played at least.
+#: Least number of rounds and of started runs of each simulation.
 ROUNDS = 10
 RUNS = 15
 
 
-def play(seed):
-    """Return what ran twice."""
-    world = OrderWorld(seed)
+def simulate(seed):
+    """Run the simulation of a seed; return its violations, as texts."""
+    simulation = OrderSimulation(seed)
     try:
-        world.play(ROUNDS, RUNS)
-        return world.twice
+        simulation.run(ROUNDS, RUNS)
+        return simulation.violations
     finally:
-        world.close()
+        simulation.close()
 
 
-# Guards against a run that is recorded as over while its minion is at work.
-@pytest.mark.parametrize("first", range(0, 5 * WORLDS_AT_ONCE, WORLDS_AT_ONCE))
+# Guards against a run that is recorded as ended while the minion still runs it.
+@pytest.mark.parametrize(
+    "first", range(0, 5 * SIMULATIONS_AT_ONCE, SIMULATIONS_AT_ONCE)
+)
 def test_no_task_runs_twice_across_leaderships(first):
-    seeds = range(first, first + WORLDS_AT_ONCE)
-    plays = [gevent.spawn(play, seed) for seed in seeds]
-    twice = {seed: one.get() for seed, one in zip(seeds, plays, strict=True)}
-    assert not any(twice.values()), twice
+    seeds = range(first, first + SIMULATIONS_AT_ONCE)
+    greenlets = [gevent.spawn(simulate, seed) for seed in seeds]
+    violations = {seed: one.get() for seed, one in zip(seeds, greenlets, strict=True)}
+    assert not any(violations.values()), violations
