--- a/tests/leased_minion.py
+++ b/tests/leased_minion.py
@@ -1,4 +1,4 @@
-"""A minion in memory that holds tasks that last, under leases."""
+"""In-memory stub of a minion that runs long-running tasks under a lease."""
 
 import time
 
@@ -11,41 +11,41 @@
 
 
 class LeasedMinion(MemoryMinion):
-    """Ends all that runs once its lease is over, whoever asks.
+    """Ends all its runs once the lease has expired.
 
-    `looks_to_lose`
-        So many of the next looks never arrive: no renewal, no answer.
+    `polls_to_lose`
+        Number of the next polls that are lost: no renewal, no reply.
     `renewals_to_lose`
-        The same for looks that would renew the lease.
-    `stops_may_go`
-        A stop waits for this event on its way.
+        The same for polls that would renew the lease.
+    `stops_may_arrive`
+        Event; a stop arrives once it is set.
     `lapsed`, `stopped`
-        What ended because its lease was over, and what was stopped.
+        Runs that ended because the lease expired, and tasks that were stopped.
     """
 
     def __init__(self):
         super().__init__(task_seconds=600)
         self.until_ms = 0
-        self.looks_to_lose = 0
+        self.polls_to_lose = 0
         self.renewals_to_lose = 0
         self.renewals = 0
         self.lapsed = []
         self.stopped = []
-        self.stops_may_go = Event()
-        self.stops_may_go.set()
-        self.keeper = None
+        self.stops_may_arrive = Event()
+        self.stops_may_arrive.set()
+        self.lease_greenlet = None
 
     def close(self):
-        if self.keeper is not None:
-            self.keeper.kill()
-            self.keeper = None
+        if self.lease_greenlet is not None:
+            self.lease_greenlet.kill()
+            self.lease_greenlet = None
 
     def start(self, order, seconds):
         self.renew(order.lease_until_ms)
         return super().start(order, seconds)
 
     def stop(self, order, seconds):
-        if not self.stops_may_go.wait(seconds):
+        if not self.stops_may_arrive.wait(seconds):
             return Reply(ReplyKind.UNSURE)
         if order.task in self.running:
             self.stopped.append(order.task)
@@ -53,8 +53,8 @@
 
     def look(self, order, seconds):
         is_renewal = order.lease_until_ms is not None
-        if self.looks_to_lose or (is_renewal and self.renewals_to_lose):
-            self.looks_to_lose = max(0, self.looks_to_lose - 1)
+        if self.polls_to_lose or (is_renewal and self.renewals_to_lose):
+            self.polls_to_lose = max(0, self.polls_to_lose - 1)
             self.renewals_to_lose = max(0, self.renewals_to_lose - is_renewal)
             gevent.sleep(seconds)
             return Look(Reply(ReplyKind.UNSURE))
@@ -63,20 +63,20 @@
             self.renew(order.lease_until_ms)
         self.ended = [end for end in self.ended if end.sequence > order.ends_taken]
         if not self.ended and order.wait_ms:
-            self.news.wait(order.wait_ms / 1000)
+            self.end_listed.wait(order.wait_ms / 1000)
         rows = tuple(
             RunningRow(task, number, "", 100) for task, number in self.running.items()
         )
         return Look(self.reply(), rows, tuple(self.ended))
 
     def renew(self, until_ms):
-        """Take a lease; it is never shortened."""
+        """Extend the lease; an earlier `until_ms` does not shorten it."""
         self.until_ms = max(self.until_ms, until_ms)
-        if self.keeper is None:
-            self.keeper = gevent.spawn(self.keep_lease)
+        if self.lease_greenlet is None:
+            self.lease_greenlet = gevent.spawn(self.enforce_lease)
 
-    def keep_lease(self):
-        """End what runs when the lease is over."""
+    def enforce_lease(self):
+        """End all runs whenever the lease has expired."""
         while True:
             left = self.until_ms / 1000 - time.monotonic()
             if left > 0:
--- a/tests/memory_minion.py
+++ b/tests/memory_minion.py
@@ -1,7 +1,7 @@
-"""A minion in memory: the client that an agent holds, without a network.
+"""In-memory stub of a minion, used as an agent's client without a network.
 
-It knows what a minion promises: a run number starts once, a stopped or ended
-one never again, ends are listed until they are taken.
+It keeps the rules of a minion: a run starts at most once, and not after it was
+stopped or ended; ends are listed until the leader has recorded them.
 """
 
 import itertools
@@ -17,12 +17,14 @@
 
 
 class MemoryMinion:
-    """Runs tasks for `task_seconds`, and misbehaves on request.
-
-    `start_faults`, `look_faults`
-        For the next calls of that kind, None for a sound one: `late` leaves
-        it without an answer and carries it out after `late_seconds`, `lost`
-        carries it out without an answer, a `ReplyKind` is answered at once.
+    """Runs tasks for `task_seconds`, with faults on request.
+
+    `start_faults`
+        Faults of the next starts, or None: `late` sends no reply and carries the
+        order out after `late_seconds`, `lost` carries it out without a reply, a
+        `ReplyKind` is replied at once.
+    `poll_faults`
+        Whether the reply to each of the next polls is lost.
     """
 
     def __init__(self, task_seconds=0.3, slots=6, late_seconds=1.2):
@@ -32,7 +34,7 @@
         self.slots = slots
         self.late_seconds = late_seconds
         self.start_faults = []
-        self.look_faults = []
+        self.poll_faults = []
         self.orders = []
         self.begun = []
         self.carried_out_late = 0
@@ -40,10 +42,10 @@
         self.barred = {}
         self.ended = []
         self.end_numbers = itertools.count(1)
-        self.news = Event()
+        self.end_listed = Event()
 
     def close(self):
-        """A client closes its connections; there are none."""
+        """Do nothing: there are no connections."""
 
     def clock_ms(self):
         return int(time.monotonic() * 1000)
@@ -51,8 +53,6 @@
     def reply(self, kind=ReplyKind.DONE):
         return Reply(kind, self.clock_ms())
 
-    # What an agent calls.
-
     def start(self, order, seconds):
         self.orders.append(order)
         fault = self.start_faults.pop(0) if self.start_faults else None
@@ -75,18 +75,16 @@
 
     def look(self, order, seconds):
         self.ended = [end for end in self.ended if end.sequence > order.ends_taken]
-        if self.look_faults and self.look_faults.pop(0):
+        if self.poll_faults and self.poll_faults.pop(0):
             gevent.sleep(seconds)
             return Look(Reply(ReplyKind.UNSURE))
         if not self.ended and order.wait_ms:
-            self.news.wait(order.wait_ms / 1000)
+            self.end_listed.wait(order.wait_ms / 1000)
         rows = tuple(
             RunningRow(task, number, "", 50) for task, number in self.running.items()
         )
         return Look(self.reply(), rows, tuple(self.ended))
 
-    # What a minion does.
-
     def carry_out_late(self, order):
         self.begin(order)
         self.carried_out_late += 1
@@ -114,5 +112,5 @@
         del self.running[task]
         self.bar(task, number)
         self.ended.append(EndedRun(next(self.end_numbers), task, number, result, ""))
-        self.news.set()
-        self.news = Event()
+        self.end_listed.set()
+        self.end_listed = Event()
--- a/tests/test_earlier_life.py
+++ b/tests/test_earlier_life.py
@@ -1,12 +1,10 @@
-"""A heartbeat of an earlier life of a VM that arrives late.
-
-Seen: four tasks ran twice at once. How it came about: a VM came back from its
-upkeep while the control replicas were cut off; the first heartbeat of that life
-was held back for 12 s, in which the VM had moved twice and had begun another
-life. Cause: a life that was not known before took the place of the one that is
-registered for its VM, whose runs counted as over and were started elsewhere.
-Proof: a late heartbeat whose sender does not answer any more changes nothing;
-one whose sender answers ends the life before.
+"""Delayed heartbeats of earlier incarnations of a VM.
+
+A network partition can hold back the first heartbeat of an incarnation until the
+VM has begun another one. If such a heartbeat replaced the registered incarnation,
+its runs would count as ended and start elsewhere, so that tasks run twice at once.
+An unknown incarnation therefore replaces the registered one only if it replies to
+a poll.
 """
 
 import gevent
@@ -25,8 +23,8 @@
 from tests.test_job_rules import make_minion, task
 
 
-class GoneMinion(MemoryMinion):
-    """A life that is over: its address says nothing, or is another's."""
+class EndedMinion(MemoryMinion):
+    """An ended incarnation; `reply_kind` is the reply from its address."""
 
     reply_kind = ReplyKind.UNSURE
 
@@ -36,16 +34,16 @@
 
 
 @pytest.fixture
-def rig():
+def harness():
     minions = {}
-    here = Rig(*add(minions, MemoryMinion(task_seconds=600)), connect=find(minions))
-    here.by_life = minions
-    here.beats = 0
-    here.service = JobService(here.replica, here.roster, None, "test")
-    here.submit(Step(1))
-    assert wait_until(lambda: here.minions[0].running, SECONDS)
-    yield here
-    here.close()
+    harness = Rig(*add(minions, MemoryMinion(task_seconds=600)), connect=find(minions))
+    harness.by_life = minions
+    harness.heartbeat_count = 0
+    harness.service = JobService(harness.replica, harness.roster, None, "test")
+    harness.submit(Step(1))
+    assert wait_until(lambda: harness.minions[0].running, SECONDS)
+    yield harness
+    harness.close()
 
 
 def add(minions, minion):
@@ -57,15 +55,15 @@
     return lambda record: minions[record.id]
 
 
-def beat(rig, minion):
-    """Hear `minion`, as a life on the VM of the first one."""
-    add(rig.by_life, minion)
+def deliver_heartbeat(harness, minion):
+    """Deliver a heartbeat of `minion` as an incarnation of the first VM."""
+    add(harness.by_life, minion)
     record = make_minion(0, id=minion.life, cpu_millicores=16_000)
-    rig.beats += 1
-    rig.service.answer(NoteBeat(record, rig.beats, minion.clock_ms()))
+    harness.heartbeat_count += 1
+    harness.service.answer(NoteBeat(record, harness.heartbeat_count, minion.clock_ms()))
 
 
-# Guards also against an answer that another minion gives at the same address.
+# Guards also against a reply of another minion at the same address.
 @pytest.mark.parametrize(
     "kind",
     [
@@ -76,75 +74,75 @@
         ReplyKind.BAD_ORDER,
     ],
 )
-def test_a_late_heartbeat_of_an_earlier_life_ends_nothing(rig, kind):
-    present = rig.minions[0]
-    earlier = GoneMinion()
+def test_a_late_heartbeat_of_an_earlier_life_ends_nothing(harness, kind):
+    present = harness.minions[0]
+    earlier = EndedMinion()
     earlier.reply_kind = kind
     with pytest.raises(HingepitchError) as caught:
-        beat(rig, earlier)
+        deliver_heartbeat(harness, earlier)
     assert caught.value.code == "life_absent"
-    table = rig.log.table
+    table = harness.log.table
     assert table.life_by_vm["vm-0"] == present.life
     assert table.run_by_task[task()].minion == present.life
     assert earlier.life not in table.minion_by_id
 
 
-def test_a_life_that_answers_ends_the_one_before(rig):
+def test_an_incarnation_that_replies_ends_the_one_before(harness):
     fresh = MemoryMinion(task_seconds=600)
-    beat(rig, fresh)
-    assert rig.log.table.life_by_vm["vm-0"] == fresh.life
+    deliver_heartbeat(harness, fresh)
+    assert harness.log.table.life_by_vm["vm-0"] == fresh.life
     assert wait_until(lambda: fresh.begun, SECONDS)
 
 
-def test_a_life_of_a_vm_that_has_none_is_taken_at_once(rig):
-    other = GoneMinion()
-    add(rig.by_life, other)
+def test_the_first_incarnation_of_a_vm_is_registered_at_once(harness):
+    other = EndedMinion()
+    add(harness.by_life, other)
     record = make_minion(5, id=other.life)
-    rig.service.answer(NoteBeat(record, 1, other.clock_ms()))
-    assert rig.log.table.life_by_vm["vm-5"] == other.life
+    harness.service.answer(NoteBeat(record, 1, other.clock_ms()))
+    assert harness.log.table.life_by_vm["vm-5"] == other.life
 
 
-class HeldReplica:
-    """A replica whose first record of a suspicion takes until `release`."""
+class DelayingReplica:
+    """A replica that delays the first `SuspectLife` command until `release`."""
 
     def __init__(self, replica):
         self.replica = replica
         self.release = Event()
-        self.is_held = False
+        self.is_delaying = False
 
     def __getattr__(self, name):
         return getattr(self.replica, name)
 
     def propose(self, envelope):
-        if isinstance(envelope.command, SuspectLife) and not self.is_held:
-            self.is_held = True
+        if isinstance(envelope.command, SuspectLife) and not self.is_delaying:
+            self.is_delaying = True
             self.release.wait()
         return self.replica.propose(envelope)
 
 
-# Guards against two runs at once: a life whose record takes long, and that ends
-# meanwhile, ended the life that came after it.
-def test_a_life_that_is_recorded_late_ends_no_later_one(rig):
-    held = rig.service.replica = HeldReplica(rig.replica)
-    brief = GoneMinion()
-    brief.reply_kind = ReplyKind.DONE
-    recording = gevent.spawn(try_beat, rig, brief)
-    assert wait_until(lambda: held.is_held, SECONDS)
-    brief.reply_kind = ReplyKind.OTHER_LIFE
+# Guards against two runs of a task at once: an incarnation that ended before its
+# registration was committed replaced the incarnation after it.
+def test_an_incarnation_that_is_recorded_late_ends_no_later_one(harness):
+    delaying = harness.service.replica = DelayingReplica(harness.replica)
+    ended = EndedMinion()
+    ended.reply_kind = ReplyKind.DONE
+    recording = gevent.spawn(try_heartbeat, harness, ended)
+    assert wait_until(lambda: delaying.is_delaying, SECONDS)
+    ended.reply_kind = ReplyKind.OTHER_LIFE
     latest = MemoryMinion(task_seconds=600)
-    try_beat(rig, latest)
-    held.release.set()
+    try_heartbeat(harness, latest)
+    delaying.release.set()
     recording.join()
-    assert wait_until(lambda: try_beat(rig, latest), SECONDS)
+    assert wait_until(lambda: try_heartbeat(harness, latest), SECONDS)
     assert wait_until(lambda: latest.begun, SECONDS)
-    assert rig.log.table.run_by_task[task()].minion == latest.life
-    assert rig.log.table.life_by_vm["vm-0"] == latest.life
+    assert harness.log.table.run_by_task[task()].minion == latest.life
+    assert harness.log.table.life_by_vm["vm-0"] == latest.life
 
 
-def try_beat(rig, minion):
-    """Hear a minion; return whether its life is the one on its VM then."""
+def try_heartbeat(harness, minion):
+    """Deliver a heartbeat; return whether its incarnation is registered then."""
     try:
-        beat(rig, minion)
+        deliver_heartbeat(harness, minion)
     except HingepitchError:
         return False
-    return rig.log.table.life_by_vm["vm-0"] == minion.life
+    return harness.log.table.life_by_vm["vm-0"] == minion.life
--- a/tests/test_held_back.py
+++ b/tests/test_held_back.py
@@ -1,10 +1,9 @@
-"""Heartbeats of a life that were held back, and orders that others answered.
+"""Delayed heartbeats, and orders that another incarnation answers.
 
-Seen by reading what was mended before, each shown by its test: a heartbeat that
-a cut has held back arrives seconds later, and what it tells is no longer true.
-One of the life that an upkeep has ended made the upkeep count as over, so that
-more VMs were down than the wave allows; one from before a minion began to drain
-made it take work again under the next leader.
+A heartbeat that a network partition holds back arrives seconds later, when its
+content is out of date. One of the incarnation that a maintenance has ended must
+not count as the VM's return, or more VMs are down than the wave allows. One from
+before a minion began to drain must not make it take runs under the next leader.
 """
 
 import pytest
@@ -28,25 +27,25 @@
 
 
 @pytest.fixture
-def rig():
+def harness():
     minions = (MemoryMinion(task_seconds=600), MemoryMinion(task_seconds=600))
     by_life = {one.life: one for one in minions}
-    here = Rig(*minions, connect=lambda record: by_life[record.id])
-    here.service = JobService(here.replica, here.roster, None, "test")
-    assert wait_until(lambda: here.dispatcher.session is not None, SECONDS)
-    yield here
-    here.close()
+    harness = Rig(*minions, connect=lambda record: by_life[record.id])
+    harness.service = JobService(harness.replica, harness.roster, None, "test")
+    assert wait_until(lambda: harness.dispatcher.session is not None, SECONDS)
+    yield harness
+    harness.close()
 
 
-def beat(rig, number, sequence, **changes):
-    """Hear the minion on the VM `number`."""
-    minion = rig.minions[number]
+def deliver_heartbeat(harness, number, sequence, **changes):
+    """Deliver a heartbeat of the minion on VM `number`, with changed fields."""
+    minion = harness.minions[number]
     record = make_minion(number, id=minion.life, cpu_millicores=16_000, **changes)
-    rig.service.answer(NoteBeat(record, sequence, minion.clock_ms()))
+    harness.service.answer(NoteBeat(record, sequence, minion.clock_ms()))
 
 
-class Platform:
-    """Carries out each upkeep at once, and brings no VM back."""
+class PlatformStub:
+    """A platform stub that starts each maintenance at once and returns no VM."""
 
     def __init__(self):
         self.calls = []
@@ -59,41 +58,43 @@
         return None
 
 
-def test_a_held_back_beat_of_the_life_that_an_upkeep_ended_does_not_end_it(rig):
-    session = rig.dispatcher.session
+def test_a_delayed_heartbeat_of_the_life_that_an_upkeep_ended_settles_nothing(
+    harness,
+):
+    session = harness.dispatcher.session
     for number in (0, 1):
-        beat(rig, number, 1)
-    platform = Platform()
+        deliver_heartbeat(harness, number, 1)
+    platform = PlatformStub()
     session.upkeep = UpkeepDesk(session, platform, UPKEEP_SECONDS)
     session.spawn(session.upkeep.run)
-    rig.log.send(commands.PutWave(1, ("vm-0", "vm-1"), 1, wall_ms() + 20_000))
-    wave = rig.log.table.wave_by_number[1]
+    harness.log.send(commands.PutWave(1, ("vm-0", "vm-1"), 1, wall_ms() + 20_000))
+    wave = harness.log.table.wave_by_number[1]
     assert wait_until(lambda: UpkeepStage.ORDERED in wave.stage_by_vm.values(), SECONDS)
     down = platform.calls[0]
     settled_at = session.upkeep.settled_at_by_vm[down]
-    agent = session.agent_by_minion[rig.log.table.life_by_vm[down]]
+    agent = session.agent_by_minion[harness.log.table.life_by_vm[down]]
     for sequence in range(2, 12):
-        beat(rig, int(down[-1]), sequence)
+        deliver_heartbeat(harness, int(down[-1]), sequence)
         wait_until(lambda: len(set(platform.calls)) == 2, 0.2)
     assert agent.beat_at > settled_at + UPKEEP_SECONDS
     assert set(platform.calls) == {down}
 
 
-def test_a_held_back_beat_does_not_take_draining_back(rig):
-    beat(rig, 0, 1)
-    beat(rig, 0, 3, is_draining=True)
-    rig.lead_again()
-    beat(rig, 0, 2)
-    assert rig.log.table.minion_by_id[rig.minions[0].life].is_draining
-    rig.submit(Step(2))
-    assert wait_until(lambda: len(rig.minions[1].begun) == 2, SECONDS)
-    assert not rig.minions[0].begun
+def test_a_delayed_heartbeat_does_not_take_draining_back(harness):
+    deliver_heartbeat(harness, 0, 1)
+    deliver_heartbeat(harness, 0, 3, is_draining=True)
+    harness.lead_again()
+    deliver_heartbeat(harness, 0, 2)
+    assert harness.log.table.minion_by_id[harness.minions[0].life].is_draining
+    harness.submit(Step(2))
+    assert wait_until(lambda: len(harness.minions[1].begun) == 2, SECONDS)
+    assert not harness.minions[0].begun
 
 
-def test_a_start_that_another_life_answers_keeps_no_run(rig):
-    rig.log.send(commands.RemoveMinion(rig.minions[1].life, 0))
+def test_a_start_that_another_incarnation_answers_leaves_no_run_recorded(harness):
+    harness.log.send(commands.RemoveMinion(harness.minions[1].life, 0))
     refused = []
-    propose = rig.replica.propose
+    propose = harness.replica.propose
 
     def refuse_once(envelope):
         if isinstance(envelope.command, commands.RemoveMinion) and not refused:
@@ -101,8 +102,8 @@
             raise HingepitchError("queue_full")
         return propose(envelope)
 
-    rig.replica.propose = refuse_once
-    rig.minions[0].start_faults = [ReplyKind.OTHER_LIFE] * 9
-    rig.submit(Step(1))
+    harness.replica.propose = refuse_once
+    harness.minions[0].start_faults = [ReplyKind.OTHER_LIFE] * 9
+    harness.submit(Step(1))
     assert wait_until(lambda: refused, SECONDS)
-    assert wait_until(lambda: task() not in rig.log.table.run_by_task, SECONDS)
+    assert wait_until(lambda: task() not in harness.log.table.run_by_task, SECONDS)
