--- a/tests/test_explain_queued_job.py
+++ b/tests/test_explain_queued_job.py
@@ -1,4 +1,4 @@
-"""What operators are told of a job of a queue: why it waits, how it failed."""
+"""The explanation of a queued job for operators: why it waits or failed."""
 
 import pytest
 
@@ -24,13 +24,13 @@
     log.send(commands.RegisterMinion(make_minion(number, id=life), 1000))
 
 
-def test_a_job_that_waits_names_its_step_and_pool(log):
+def test_the_explanation_of_a_waiting_job_names_its_step_and_pool(log):
     log.submit(Step(3), Step(1, after=(0,)))
     expected = "step 0: 3 of 3 tasks wait for pool pool, which has 2 minions"
     assert reasons(log) == [expected]
 
 
-def test_a_task_under_suspicion_is_named_and_then_how_its_job_failed(log):
+def test_a_suspected_task_is_named_and_then_why_its_job_failed(log):
     log.submit(Step(1))
     crash(log, 1, "a")
     assert reasons(log)[1] == (
@@ -42,7 +42,7 @@
     ]
 
 
-def test_a_job_whose_task_failed_too_often_says_so(log):
+def test_the_explanation_of_a_failed_job_names_the_task_that_failed(log):
     log.submit(Step(1))
     for _ in range(2):
         log.start(task())
@@ -50,7 +50,7 @@
     assert reasons(log) == [f"the job is failed: {JOB}.0.0.0 failed 2 times"]
 
 
-def test_a_job_that_does_not_exist_is_one_clear_error(log):
+def test_an_unknown_job_is_an_error(log):
     with pytest.raises(HingepitchError) as raised:
         reasons(log)
     assert raised.value.code == "unknown_object"
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Evidence on minions: what counts, and for how long."""
+"""Evidence that a minion is unhealthy: which failures count, and for how long."""
 
 from hingepitch.jobs.health import (
     EVIDENCE_SECONDS,
@@ -16,7 +16,7 @@
     assert not health.doubt(5) and not health.is_sick(5)
 
 
-def test_several_jobs_in_trouble_make_a_minion_doubted_then_sick():
+def test_several_jobs_in_trouble_make_a_minion_avoided_then_unhealthy():
     health = MinionHealth()
     health.note_trouble("a", 1)
     health.note_trouble("b", 1)
@@ -25,7 +25,7 @@
     assert health.is_sick(2)
 
 
-def test_a_success_or_time_clears_a_sick_minion():
+def test_a_success_or_time_clears_an_unhealthy_minion():
     health = MinionHealth()
     for job in "abc":
         health.note_trouble(job, 1)
@@ -37,11 +37,11 @@
     assert not health.trouble_at_by_job
 
 
-def test_progress_that_moves_is_not_hung():
+def test_a_task_is_stalled_only_after_the_stall_timeout():
     assert not is_hung(10.0, 10.0 + HUNG_SECONDS)
     assert is_hung(10.0, 10.1 + HUNG_SECONDS)
 
 
-def test_a_member_of_a_gang_may_wait_for_the_others():
+def test_a_gang_member_has_a_longer_stall_timeout():
     assert not is_hung(10.0, 10.1 + HUNG_SECONDS, gang=True)
     assert is_hung(10.0, 10.1 + HUNG_GANG_SECONDS, gang=True)
--- a/tests/test_job_service.py
+++ b/tests/test_job_service.py
@@ -1,4 +1,4 @@
-"""The leader's answers while its log is slow and callers insist."""
+"""The job service's replies to repeated requests while commits are slow."""
 
 from types import SimpleNamespace
 
@@ -18,14 +18,14 @@
 
 
 class SlowReplica:
-    """A leader whose log commits nothing until it is let go."""
+    """A leader whose log commits nothing until `may_commit` is set."""
 
     def __init__(self):
         self.log = Log()
         self.log.send(commands.PutQueues(make_config()))
         self.core = SimpleNamespace(term=1, role="leader")
         self.is_leader = True
-        self.go = Event()
+        self.may_commit = Event()
         self.proposals = []
         self.refusal = None
 
@@ -35,7 +35,7 @@
 
     def propose(self, envelope):
         self.proposals.append(envelope.command)
-        self.go.wait()
+        self.may_commit.wait()
         if self.refusal:
             raise HingepitchError(self.refusal)
         self.log.index += 1
@@ -52,56 +52,56 @@
     return JobService(replica, MinionRoster(), None, "test")
 
 
-QUESTION = GiveJob(JOB, HOST, "/q/" + JOB, JobSpec("text", (Step(1),)))
+REQUEST = GiveJob(JOB, HOST, "/q/" + JOB, JobSpec("text", (Step(1),)))
 
 
 def ask(service, count):
-    """Ask for the same job `count` times at once."""
-    askings = [gevent.spawn(service.answer, QUESTION) for _ in range(count)]
+    """Submit the same job `count` times at once; return the greenlets."""
+    requests = [gevent.spawn(service.answer, REQUEST) for _ in range(count)]
     gevent.sleep(0)
-    return askings
+    return requests
 
 
 def test_a_job_that_is_asked_for_again_costs_one_entry(replica, service):
-    askings = ask(service, 9)
-    replica.go.set()
-    gevent.joinall(askings, raise_error=True)
+    requests = ask(service, 9)
+    replica.may_commit.set()
+    gevent.joinall(requests, raise_error=True)
     assert len(replica.proposals) == 1
     assert JOB in replica.state.jobs.job_by_id
 
 
 def test_a_known_job_is_answered_without_the_log(replica, service):
-    replica.go.set()
-    service.answer(QUESTION)
-    replica.go.clear()
-    service.answer(QUESTION)
+    replica.may_commit.set()
+    service.answer(REQUEST)
+    replica.may_commit.clear()
+    service.answer(REQUEST)
     assert len(replica.proposals) == 1
 
 
-def test_all_who_ask_hear_the_same_refusal(replica, service):
+def test_concurrent_requests_get_the_same_refusal(replica, service):
     replica.refusal = "lost_leadership"
-    askings = ask(service, 3)
-    replica.go.set()
-    gevent.joinall(askings)
-    assert [one.exception.code for one in askings] == ["lost_leadership"] * 3
+    requests = ask(service, 3)
+    replica.may_commit.set()
+    gevent.joinall(requests)
+    assert [one.exception.code for one in requests] == ["lost_leadership"] * 3
     assert len(replica.proposals) == 1
 
 
-def test_after_a_refusal_the_next_asking_goes_to_the_log(replica, service):
+def test_the_request_after_a_refusal_is_proposed_again(replica, service):
     replica.refusal = "lost_leadership"
-    replica.go.set()
+    replica.may_commit.set()
     with pytest.raises(HingepitchError):
-        service.answer(QUESTION)
+        service.answer(REQUEST)
     replica.refusal = None
-    service.answer(QUESTION)
+    service.answer(REQUEST)
     assert JOB in replica.state.jobs.job_by_id
 
 
-def test_who_asked_first_and_is_killed_leaves_nobody_waiting(replica, service):
-    askings = ask(service, 2)
-    askings[0].kill()
-    gevent.joinall(askings, timeout=5)
-    assert askings[1].exception.code == "lost_leadership"
+def test_killing_the_first_request_leaves_no_other_waiting(replica, service):
+    requests = ask(service, 2)
+    requests[0].kill()
+    gevent.joinall(requests, timeout=5)
+    assert requests[1].exception.code == "lost_leadership"
     assert not service.accepting
 
 
@@ -115,5 +115,7 @@
         (2048, 0, 500, True),
     ],
 )
-def test_a_large_state_is_written_less_often(entries, log_bytes, snapshot_bytes, due):
+def test_snapshots_of_a_large_state_are_written_less_often(
+    entries, log_bytes, snapshot_bytes, due
+):
     assert is_snapshot_due(entries, log_bytes, snapshot_bytes) is due
--- a/tests/test_renewal.py
+++ b/tests/test_renewal.py
@@ -1,4 +1,4 @@
-"""What the log tells of a lease that lapsed: renewals, and the minion's clock."""
+"""The log fields of an expired lease: its renewals and the minion's clock."""
 
 import pytest
 
@@ -7,17 +7,17 @@
 LEASE_MS = 4000
 
 
-def test_nothing_is_told_before_a_renewal():
+def test_no_fields_are_logged_before_a_renewal():
     assert RenewalBook().fields(5.0) == {}
 
 
-def test_a_renewal_without_an_answer_is_told_beside_the_one_answered_before():
-    book = RenewalBook()
-    book.note_clock(1_000, 10.0)
-    book.note_answered(book.note_sent(1_000 + LEASE_MS, 10.0))
-    book.note_sent(3_000 + LEASE_MS, 12.0)
-    book.note_clock(5_200, 14.2)
-    assert book.fields(14.2) == {
+def test_an_unanswered_renewal_is_logged_with_the_last_answered_one():
+    history = RenewalBook()
+    history.note_clock(1_000, 10.0)
+    history.note_answered(history.note_sent(1_000 + LEASE_MS, 10.0))
+    history.note_sent(3_000 + LEASE_MS, 12.0)
+    history.note_clock(5_200, 14.2)
+    assert history.fields(14.2) == {
         "renewed": 2.2,
         "answered": 4.2,
         "given_ms": LEASE_MS,
@@ -26,27 +26,27 @@
 
 
 @pytest.mark.parametrize("late_ms", [0, 700, 2500])
-def test_a_lease_given_by_a_late_reading_of_the_clock_shows_as_shorter(late_ms):
-    book = RenewalBook()
-    book.note_clock(1_000 - late_ms, 10.0)
-    book.note_answered(book.note_sent(1_000 - late_ms + LEASE_MS, 10.0))
-    book.note_clock(3_000, 12.0)
-    assert book.fields(12.0)["given_ms"] == LEASE_MS - late_ms
-
-
-def test_a_look_without_a_renewal_and_a_late_answer_change_nothing():
-    book = RenewalBook()
-    early, late = book.note_sent(4_000, 1.0), book.note_sent(5_000, 2.0)
-    book.note_answered(late)
-    book.note_answered(early)
-    book.note_answered(None)
-    assert book.answered is late
-
-
-def test_a_renewal_is_overdue_unless_one_was_answered_lately():
-    book = RenewalBook()
-    assert book.is_overdue(1.0, 1.2)
-    book.note_answered(book.note_sent(4_000, 1.0))
-    assert not book.is_overdue(2.1, 1.2)
-    book.note_sent(5_000, 2.0)
-    assert book.is_overdue(2.3, 1.2)
+def test_a_late_reading_of_the_clock_shows_as_a_shorter_lease(late_ms):
+    history = RenewalBook()
+    history.note_clock(1_000 - late_ms, 10.0)
+    history.note_answered(history.note_sent(1_000 - late_ms + LEASE_MS, 10.0))
+    history.note_clock(3_000, 12.0)
+    assert history.fields(12.0)["given_ms"] == LEASE_MS - late_ms
+
+
+def test_a_poll_without_a_renewal_and_a_late_reply_change_nothing():
+    history = RenewalBook()
+    early, late = history.note_sent(4_000, 1.0), history.note_sent(5_000, 2.0)
+    history.note_answered(late)
+    history.note_answered(early)
+    history.note_answered(None)
+    assert history.answered is late
+
+
+def test_a_renewal_is_overdue_unless_one_was_answered_recently():
+    history = RenewalBook()
+    assert history.is_overdue(1.0, 1.2)
+    history.note_answered(history.note_sent(4_000, 1.0))
+    assert not history.is_overdue(2.1, 1.2)
+    history.note_sent(5_000, 2.0)
+    assert history.is_overdue(2.3, 1.2)
--- a/tests/test_shrinking_room.py
+++ b/tests/test_shrinking_room.py
@@ -1,8 +1,9 @@
-"""A minion whose room shrinks and grows while it runs.
+"""A minion whose capacity shrinks and grows.
 
-Nothing starts over what a minion last said of its room: not what was decided
-before it shrank and waits for its turn, and not by a report that a cut held back
-and that reaches another leader. What runs there stays and counts until it ends.
+No run starts beyond the capacity that the minion reported last. Guards against a
+start that was planned before the capacity shrank and waited for other orders, and
+against an outdated heartbeat that a network partition held back and that reaches
+another leader. Runs in progress stay and use capacity until they end.
 """
 
 from dataclasses import replace
@@ -19,8 +20,8 @@
 from tests.test_job_rules import make_minion
 
 
-class Room(Rig):
-    """One minion with room for 16 tasks of a step, that says what it has."""
+class OneMinionHarness(Rig):
+    """A dispatcher with one minion, whose heartbeats report its capacity."""
 
     def __init__(self):
         self.minion = TaskMinion()
@@ -34,20 +35,20 @@
         )
         assert wait_until(lambda: self.dispatcher.session is not None, SECONDS)
 
-    def beat(self, sequence, **changes):
+    def send_heartbeat(self, sequence, **changes):
         record = replace(self.record, **changes)
         clock_ms = self.minion.clock_ms()
         self.service.answer(NoteBeat(record, sequence, clock_ms))
 
     @property
-    def room_now(self):
+    def registered_capacity(self):
         record = self.log.table.minion_by_id[self.minion.life]
         return record.cpu_millicores, record.memory_mb, record.accelerators
 
 
 @pytest.fixture
 def room():
-    made = Room()
+    made = OneMinionHarness()
     yield made
     made.close()
 
@@ -55,53 +56,53 @@
 @pytest.mark.parametrize(
     "shrunk", [{"cpu_millicores": 2000}, {"memory_mb": 200}, {"accelerators": 2}]
 )
-def test_nothing_starts_over_a_room_that_has_shrunk(room, shrunk):
-    room.beat(1, accelerators=8)
-    room.beat(2, **{"accelerators": 8, **shrunk})
+def test_no_run_starts_beyond_a_capacity_that_shrank(room, shrunk):
+    room.send_heartbeat(1, accelerators=8)
+    room.send_heartbeat(2, **{"accelerators": 8, **shrunk})
     room.submit(Step(4, 1000, 100, accelerators=1))
     assert wait_until(lambda: len(room.minion.running) == 2, SECONDS)
-    room.beat(3, accelerators=8)
+    room.send_heartbeat(3, accelerators=8)
     assert wait_until(lambda: len(room.minion.running) == 4, SECONDS)
 
 
-def test_a_start_that_waits_for_its_turn_is_dropped_when_the_room_shrinks(room):
+def test_a_start_that_waits_for_its_turn_is_dropped_when_the_capacity_shrinks(room):
     room.minion.faults.starts += ["late", "late"]
     room.minion.faults.late_seconds = 1.0
     room.submit(Step(6, 1000, 100))
     assert wait_until(lambda: len(room.log.table.run_by_task) == 6, SECONDS)
-    room.beat(1, cpu_millicores=2000)
+    room.send_heartbeat(1, cpu_millicores=2000)
     assert wait_until(lambda: len(room.log.table.run_by_task) <= 2, SECONDS)
     started = {name for name, _, _ in room.minion.starts}
     assert len(started) <= 2, started
 
 
-def test_what_runs_stays_and_counts_when_the_room_shrinks_below_it(room):
+def test_runs_in_progress_stay_and_count_when_the_capacity_shrinks_below_them(room):
     room.submit(Step(4, 1000, 100, lasts=True))
     assert wait_until(lambda: len(room.minion.running) == 4, SECONDS)
-    room.beat(1, cpu_millicores=3000)
+    room.send_heartbeat(1, cpu_millicores=3000)
     room.log.submit(Step(1, 500, 100), job="00000000000000bb")
     room.replica.wake()
     gevent.sleep(0.5)
     assert len(room.minion.running) == 4
     assert len(room.minion.starts) == 4
-    room.beat(2, cpu_millicores=5000)
+    room.send_heartbeat(2, cpu_millicores=5000)
     assert wait_until(lambda: len(room.minion.running) == 5, SECONDS)
 
 
 def test_a_report_that_was_held_back_does_not_grow_a_room_under_another_leader(room):
-    room.beat(1, cpu_millicores=16_000)
-    room.beat(5, cpu_millicores=2000)
+    room.send_heartbeat(1, cpu_millicores=16_000)
+    room.send_heartbeat(5, cpu_millicores=2000)
     room.lead_again()
-    room.beat(3, cpu_millicores=16_000)
-    assert room.room_now[0] == 2000
-    room.beat(6, cpu_millicores=8000)
-    assert room.room_now[0] == 8000
+    room.send_heartbeat(3, cpu_millicores=16_000)
+    assert room.registered_capacity[0] == 2000
+    room.send_heartbeat(6, cpu_millicores=8000)
+    assert room.registered_capacity[0] == 8000
 
 
 def test_a_gang_that_no_longer_fits_together_does_not_start(room):
-    room.beat(1, cpu_millicores=3000)
+    room.send_heartbeat(1, cpu_millicores=3000)
     room.submit(Step(4, 1000, 100, gang=True))
     gevent.sleep(0.5)
     assert not room.minion.starts
-    room.beat(2, cpu_millicores=4000)
+    room.send_heartbeat(2, cpu_millicores=4000)
     assert wait_until(lambda: len(room.minion.running) == 4, SECONDS)
