--- a/tests/crash_world.py
+++ b/tests/crash_world.py
@@ -1,6 +1,7 @@
-"""A pool whose minions crash, under the real state machine and plan functions.
+"""Simulate a pool of crashing minions with the real state machine and planner.
 
-Time is a hand-moved clock; agents are what blame and isolation ask of them.
+Time is simulated; the stub agents have the attributes that the suspicion of tasks
+and their isolation use.
 """
 
 import itertools
@@ -19,32 +20,34 @@
 
 TICK_SECONDS = 0.01
 
-#: Time from a decision to the start on the minion, and until silence is noticed.
+#: Time from a planned start to the start on the minion, and from the loss of a
+#: minion until it counts as unresponsive, in seconds.
 ORDER_SECONDS = 0.005
 NOTICE_SECONDS = 0.01
 
-#: A silent minion's runs are over after so long, in seconds.
-LAPSE_SECONDS = 4.6
+#: Time until the runs of an unresponsive minion count as lost, in seconds.
+EXPIRY_SECONDS = 4.6
 
-LOOK_SECONDS = 0.6
+#: Interval between status polls, in seconds.
+POLL_SECONDS = 0.6
 
 
-class WatchedLife:
-    """One life of a minion as a leader's agent would see it."""
+class SimulatedAgent:
+    """A stub of the agent for one incarnation of a minion."""
 
-    def __init__(self, world, minion):
+    def __init__(self, simulation, minion):
         self.minion = minion
-        self.session = world
+        self.session = simulation
         self.view_by_task = {}
-        self.heard_at = world.now
+        self.heard_at = simulation.now
         self.silent_since = 0.0
         self.is_up = True
-        self.is_cut = False
-        self.has_lapsed = False
+        self.is_disconnected = False
+        self.is_lease_expired = False
 
     @property
     def answers(self):
-        return self.is_up and not self.is_cut
+        return self.is_up and not self.is_disconnected
 
     def is_starting(self, run):
         view = self.view_by_task.get(run.task)
@@ -58,17 +61,17 @@
         return view and step and is_proven(view, step, self.session.now)
 
 
-class CrashWorld:
-    """Minions, jobs, crashes by tasks and by chance; a session for its agents.
+class CrashSimulation:
+    """A pool with jobs and crashing minions; the session of the stub agents.
 
     `crash_after`
-        Seconds from the start of a culprit to the crash, by its task.
+        Seconds from the start of a poison task to the crash, by task.
     `millicores`
-        Of each minion that comes from now on.
-    `sick_vms`
-        VMs that crash under whatever they start.
+        CPU capacity of the minions registered from now on.
+    `crashing_vms`
+        VMs that crash whenever they start a task.
     `starts`
-        How often each task began on a minion.
+        Number of starts by task.
     """
 
     def __init__(self, seed, minions=12):
@@ -80,18 +83,16 @@
         self.suspect_waits = SuspectWaits(lambda: self.now)
         self.crash_after = {}
         self.millicores = 16_000
-        self.sick_vms = set()
+        self.crashing_vms = set()
         self.starts = {}
         self.accepted_at = {}
         self.done_at = {}
         self.events = []
         self.order = itertools.count()
-        self.lives = itertools.count()
+        self.incarnation_numbers = itertools.count()
         for number in range(minions):
             self.register(number)
 
-    # What blame and isolation ask of a session.
-
     @property
     def table(self):
         return self.log.table
@@ -103,18 +104,16 @@
     def runs_of(self, life):
         return self.table.runs_by_minion.get(life, {})
 
-    # Time.
-
     @property
     def now_ms(self):
         return int(self.now * 1000)
 
-    def later(self, seconds, function, *arguments):
+    def schedule(self, seconds, function, *arguments):
         event = (self.now + seconds, next(self.order), function, arguments)
         self.events.append(event)
 
     def run(self, seconds):
-        """Let time pass."""
+        """Advance the simulated time by `seconds`."""
         until = self.now + seconds
         while self.now < until:
             self.now += TICK_SECONDS
@@ -124,16 +123,14 @@
             for key in due:
                 _, _, function, arguments = ready[key]
                 function(*arguments)
-            self.look()
+            self.poll()
             self.plan()
 
-    def look(self):
+    def poll(self):
         for agent in self.agent_by_minion.values():
-            if agent.answers and self.now - agent.heard_at > LOOK_SECONDS:
+            if agent.answers and self.now - agent.heard_at > POLL_SECONDS:
                 agent.heard_at = self.now
 
-    # Jobs.
-
     def submit(self, job, *steps, **times):
         assert self.log.submit(*steps, job=job, at_ms=self.now_ms, **times) == ""
         self.accepted_at[job] = self.now
@@ -153,7 +150,7 @@
             if run is not None and run.minion == start.minion:
                 view = RunView(run, RunViewStatus.ORDERED)
                 self.agent_by_minion[run.minion].view_by_task[run.task] = view
-                self.later(ORDER_SECONDS, self.begin, run, view)
+                self.schedule(ORDER_SECONDS, self.begin, run, view)
 
     def begin(self, run, view):
         agent = self.agent_by_minion.get(run.minion)
@@ -164,12 +161,12 @@
         view.status = RunViewStatus.RUNNING
         view.note_begun(self.now)
         if run.task in self.crash_after:
-            self.later(self.crash_after[run.task], self.crash, run.minion)
-        if agent.minion.vm in self.sick_vms:
-            self.later(2 * TICK_SECONDS, self.crash, run.minion)
+            self.schedule(self.crash_after[run.task], self.crash, run.minion)
+        if agent.minion.vm in self.crashing_vms:
+            self.schedule(2 * TICK_SECONDS, self.crash, run.minion)
         step = self.step_of(run)
         if step is not None and not step.lasts:
-            self.later(step.estimate_ms / 1000, self.finish, run)
+            self.schedule(step.estimate_ms / 1000, self.finish, run)
 
     def finish(self, run):
         agent = self.agent_by_minion.get(run.minion)
@@ -189,19 +186,19 @@
         one = RunEnd(run.task, run.number, run.minion, result)
         self.log.send(commands.EndRuns((one,), self.now_ms))
 
-    # Minions.
-
     def register(self, number):
-        """Let a minion come as a new life; the one before is over."""
+        """Register a new incarnation of a minion; the previous one has ended."""
         record = make_minion(
-            number, id=f"i-{next(self.lives)}", cpu_millicores=self.millicores
+            number,
+            id=f"i-{next(self.incarnation_numbers)}",
+            cpu_millicores=self.millicores,
         )
         before = self.table.life_by_vm.get(record.vm)
         if before is not None:
             self.suspect(before)
         self.log.send(commands.RegisterMinion(record, self.now_ms))
         self.agent_by_minion.pop(before, None)
-        self.agent_by_minion[record.id] = WatchedLife(self, record)
+        self.agent_by_minion[record.id] = SimulatedAgent(self, record)
 
     def suspect(self, life):
         blame = self.blame(life)
@@ -215,24 +212,24 @@
         return blame_of(agent, self.agent_by_minion.values(), self.now_ms)
 
     def crash(self, life, down_seconds=None):
-        """Crash a life, if it is still up; it is back as another one."""
+        """Crash an incarnation if it is still up; another one follows."""
         agent = self.agent_by_minion.get(life)
         if agent is None or not agent.is_up:
             return
         agent.is_up = False
-        self.later(NOTICE_SECONDS, self.fall_silent, agent)
+        self.schedule(NOTICE_SECONDS, self.become_unresponsive, agent)
         down = down_seconds or self.random.uniform(2.0, 6.0)
-        self.later(down, self.register, int(agent.minion.vm.split("-")[1]))
+        self.schedule(down, self.register, int(agent.minion.vm.split("-")[1]))
 
-    def cut(self, life, seconds):
-        """Cut a life off for a while; it runs on."""
+    def disconnect(self, life, seconds):
+        """Disconnect an incarnation for `seconds`; it goes on running."""
         agent = self.agent_by_minion[life]
-        agent.is_cut = True
-        self.later(NOTICE_SECONDS, self.fall_silent, agent)
-        self.later(seconds, self.heal, agent)
+        agent.is_disconnected = True
+        self.schedule(NOTICE_SECONDS, self.become_unresponsive, agent)
+        self.schedule(seconds, self.reconnect, agent)
 
-    def heal(self, agent):
-        agent.is_cut = False
+    def reconnect(self, agent):
+        agent.is_disconnected = False
         if not agent.is_up:
             return
         agent.heard_at = self.now
@@ -243,11 +240,11 @@
             agent.view_by_task.pop(view.run.task)
             self.end(view.run, RunResult.LAPSED)
 
-    def fall_silent(self, agent):
+    def become_unresponsive(self, agent):
         agent.silent_since = self.now
-        self.later(LAPSE_SECONDS, self.lapse, agent)
+        self.schedule(EXPIRY_SECONDS, self.expire_lease, agent)
 
-    def lapse(self, agent):
+    def expire_lease(self, agent):
         life = agent.minion.id
         if agent.answers or life not in self.agent_by_minion:
             return
@@ -257,7 +254,7 @@
         agent.view_by_task.clear()
 
     def change_leader(self):
-        """Let another leader take over: it has watched nobody yet."""
+        """Let another leader take over, whose agents have observed no minion yet."""
         for agent in self.agent_by_minion.values():
             for view in agent.view_by_task.values():
                 view.begun_at = self.now if agent.answers else 0.0
@@ -265,13 +262,11 @@
                 agent.heard_at = 0.0
                 agent.silent_since = self.now
 
-    # What tests ask.
-
     def status(self, job):
         return self.table.job_by_id[job].status
 
-    def submit_mix(self, count, prefix="b"):
-        """Submit jobs of several shapes; return their ids."""
+    def submit_jobs(self, count, prefix="b"):
+        """Submit `count` jobs of random size; return their ids."""
         jobs = [f"{prefix}{number:015x}" for number in range(count)]
         for job in jobs:
             count = self.random.randint(1, 6)
--- a/tests/test_crash_book.py
+++ b/tests/test_crash_book.py
@@ -1,4 +1,4 @@
-"""What the log remembers of crashes: bounded, kept in snapshots, and taken back."""
+"""The replicated crash records: their limits, snapshots and removal."""
 
 from types import SimpleNamespace
 
@@ -16,7 +16,7 @@
 
 CULPRIT = task(index=1)
 ALONE = Blame((CULPRIT,), (CULPRIT,), (CULPRIT,))
-CROWD = Blame((CULPRIT, task()), (CULPRIT, task()))
+SHARED = Blame((CULPRIT, task()), (CULPRIT, task()))
 
 
 @pytest.fixture
@@ -30,7 +30,7 @@
 
 
 def crash(log, number, life, blame):
-    """Let a minion come back as another life; return its life."""
+    """Crash a minion under the tasks of `blame`; it returns as incarnation `life`."""
     if blame.exposed:
         before = log.table.life_by_vm[f"vm-{number}"]
         log.send(commands.SuspectLife(before, blame))
@@ -39,7 +39,7 @@
 
 
 def renewed(log):
-    """Let the table be what a snapshot of it holds."""
+    """Replace the job table by its copy from a snapshot."""
     data = msgspec.msgpack.encode(log.table.to_content())
     content = msgspec.msgpack.decode(data, type=TableContent)
     log.state.jobs = JobTable.from_content(content)
@@ -60,18 +60,18 @@
     assert log.status is not JobStatus.FAILED
 
 
-def test_crashes_beside_others_isolate_and_end_by_the_bound_in_all(log):
+def test_crashes_beside_other_tasks_isolate_a_task_and_fail_its_job_at_the_limit(log):
     seen = []
     for life in "abcde":
         seen.append(log.table.crashes.suspicion(CULPRIT))
-        crash(log, 0, life, CROWD)
+        crash(log, 0, life, SHARED)
         renewed(log)
     starting, running = Suspicion.STARTING, Suspicion.RUNNING
     assert seen == [Suspicion.NONE, starting, starting, running, running]
     assert log.status is JobStatus.FAILED
 
 
-def test_a_leader_that_watched_nobody_blames_all_that_ran(log):
+def test_a_leader_that_watched_nobody_blames_all_recorded_runs(log):
     log.start(CULPRIT, task(), minion="i-1")
     replica = SimpleNamespace(state=log.state)
     dispatcher = Dispatcher(replica, MinionRoster(), None, None, "test")
@@ -79,18 +79,18 @@
     assert not dispatcher.take_blame("i-2").exposed
 
 
-def test_a_planned_end_is_no_crash(log):
+def test_the_end_of_a_draining_or_removed_minion_is_no_crash(log):
     draining = make_minion(0, is_draining=True)
     log.send(commands.RegisterMinion(draining, 1000))
-    crash(log, 0, "a", CROWD)
+    crash(log, 0, "a", SHARED)
     log.send(commands.RemoveMinion("i-1", 1000))
     assert not log.table.crashes
 
 
 def test_a_silent_life_counts_until_it_answers_again(log):
-    log.send(commands.SuspectLife("i-0", CROWD))
+    log.send(commands.SuspectLife("i-0", SHARED))
     assert log.table.crashes.suspicion(CULPRIT) is Suspicion.NONE
-    log.send(commands.SuspectLife("i-1", CROWD))
+    log.send(commands.SuspectLife("i-1", SHARED))
     renewed(log)
     assert log.table.crashes.suspicion(CULPRIT) is Suspicion.STARTING
     log.send(commands.SuspectLife("i-0", Blame()))
@@ -99,24 +99,24 @@
     assert not log.table.crashes
 
 
-def test_a_silent_life_that_is_over_counts_once(log):
-    log.send(commands.SuspectLife("i-0", CROWD))
+def test_an_unresponsive_incarnation_that_ends_counts_once(log):
+    log.send(commands.SuspectLife("i-0", SHARED))
     crash(log, 0, "a", Blame())
     assert log.table.crashes.record(CULPRIT).crashes == 1
     assert not log.table.crashes.blame_by_life
 
 
-def test_a_task_waits_while_silent_lives_would_exceed_its_bound(log):
+def test_a_task_is_barred_while_unresponsive_minions_may_exceed_its_limit(log):
     for life in "abc":
-        crash(log, 0, life, CROWD)
-    log.send(commands.SuspectLife("i-1", CROWD))
-    log.send(commands.SuspectLife("i-2", CROWD))
+        crash(log, 0, life, SHARED)
+    log.send(commands.SuspectLife("i-1", SHARED))
+    log.send(commands.SuspectLife("i-2", SHARED))
     assert log.table.crashes.suspicion(CULPRIT) is Suspicion.BARRED
     assert log.status is not JobStatus.FAILED
 
 
-def test_a_task_that_ended_well_is_forgotten(log):
-    crash(log, 0, "a", CROWD)
+def test_the_crashes_under_a_task_that_succeeded_are_forgotten(log):
+    crash(log, 0, "a", SHARED)
     log.start(CULPRIT, task(), minion="i-1")
     log.end(CULPRIT, RunResult.DONE)
     assert log.table.crashes.record(CULPRIT) is None
@@ -125,15 +125,15 @@
     assert not log.table.crashes
 
 
-def test_lives_that_stay_silent_are_remembered_within_a_bound():
-    book = CrashBook()
+def test_unresponsive_incarnations_are_kept_up_to_a_limit():
+    registry = CrashBook()
     for number in range(MAX_SILENT_LIVES + 10):
-        book.suspect(f"i-{number}", CROWD)
-    assert len(book.blame_by_life) == MAX_SILENT_LIVES
-    assert book.silent_exposed[CULPRIT] == MAX_SILENT_LIVES
+        registry.suspect(f"i-{number}", SHARED)
+    assert len(registry.blame_by_life) == MAX_SILENT_LIVES
+    assert registry.silent_exposed[CULPRIT] == MAX_SILENT_LIVES
 
 
-def test_a_snapshot_of_before_crashes_were_counted_is_read(log):
+def test_a_snapshot_without_crash_records_is_read(log):
     content = msgspec.to_builtins(log.table.to_content())
     del content["crashes"], content["silent_lives"]
     read = msgspec.convert(content, TableContent)
--- a/tests/test_crashing_task.py
+++ b/tests/test_crashing_task.py
@@ -1,8 +1,9 @@
-"""A task that crashes every minion that starts it.
+"""Poison tasks, which crash each minion that starts them.
 
-Seen: about fourteen tasks of one queue were started up to thirty times each, and
-every start took a minion away for three seconds with the ten runs beside it;
-from then on the queue served nobody, through two changes of the leader.
+Without a limit on their starts, about fourteen such tasks were started up to
+thirty times each. Every start took a minion out of service for three seconds,
+together with its ten other runs, so that the queue completed no other job, also
+after two leader changes.
 """
 
 import gevent
@@ -19,13 +20,13 @@
 
 OTHER_JOBS = tuple(f"00000000000000b{number}" for number in range(4))
 
-#: Starts that a task may have once three minions have crashed under it: two.
-MOST_STARTS = 5
+#: Largest number of starts of a poison task: three crashes, then two more starts.
+MAX_STARTS = 5
 
-#: A minion crashes so soon after the start of a task that does it, in seconds.
+#: Time from the start of a poison task to the crash of its minion, in seconds.
 CRASH_SECONDS = 0.01
 
-#: How long a minion is away after a crash, in seconds.
+#: Time for which a minion is down after a crash, in seconds.
 DOWN_SECONDS = 0.5
 
 BEAT_SECONDS = 0.1
@@ -33,10 +34,10 @@
 
 
 class CrashingMinion(TaskMinion):
-    """A minion that crashes under some tasks, and is back as another life.
+    """A minion that crashes under poison tasks and returns as another incarnation.
 
     `pool`
-        The `CrashingPool`.
+        The `CrashingPool`; its `crashing` holds the names of the poison tasks.
     """
 
     def __init__(self, pool, task_seconds):
@@ -47,28 +48,34 @@
     def start_run(self, body):
         status, fields = super().start_run(body)
         if status == 200 and body["task"] in self.pool.crashing:
-            gevent.spawn_later(CRASH_SECONDS, self.crash_under, self.life, body["task"])
+            gevent.spawn_later(CRASH_SECONDS, self.crash_by, self.life, body["task"])
         return status, fields
 
-    def crash_under(self, life, name):
+    def crash_by(self, life, name):
         if life == self.life:
             self.crash(DOWN_SECONDS)
             self.pool.break_gang(name)
 
 
 class CrashingPool(Rig):
-    """A dispatcher and minions whose heartbeats go through the job service."""
+    """A dispatcher and minions whose heartbeats go through the job service.
+
+    `crashing`
+        Names of the poison tasks.
+    `gang_prefix`
+        Prefix of the task names of the gang that ends as a whole, or None.
+    """
 
     def __init__(self, minions=4, task_seconds=0.3):
         self.crashing = set()
         self.gang_prefix = None
-        made = [CrashingMinion(self, task_seconds) for _ in range(minions)]
-        super().__init__(*made)
+        crashing_minions = [CrashingMinion(self, task_seconds) for _ in range(minions)]
+        super().__init__(*crashing_minions)
         self.service = JobService(self.replica, self.roster, None, "test")
-        self.beating = gevent.spawn(self.beat)
+        self.heartbeat_greenlet = gevent.spawn(self.send_heartbeats)
         assert wait_until(lambda: self.dispatcher.session is not None, SECONDS)
 
-    def beat(self):
+    def send_heartbeats(self):
         while True:
             for number, minion in enumerate(self.minions):
                 if not minion.is_up:
@@ -80,13 +87,13 @@
                     address=minion.address,
                     cpu_millicores=16_000,
                 )
-                beat = NoteBeat(record, minion.sequence, minion.clock_ms())
+                heartbeat = NoteBeat(record, minion.sequence, minion.clock_ms())
                 if self.replica.is_leader:
-                    self.service.answer(beat)
+                    self.service.answer(heartbeat)
             gevent.sleep(BEAT_SECONDS)
 
     def break_gang(self, name):
-        """End the other members of a gang one of whose members was lost."""
+        """End the other members of the gang whose member `name` was lost."""
         if self.gang_prefix is None or not name.startswith(self.gang_prefix):
             return
         for minion in self.minions:
@@ -105,34 +112,34 @@
         return self.log.table.job_by_id[job].status
 
     def close(self):
-        self.beating.kill()
+        self.heartbeat_greenlet.kill()
         super().close()
 
 
 @pytest.fixture
 def pool():
-    made = []
+    pools = []
 
     def make(**options):
-        made.append(CrashingPool(**options))
-        return made[-1]
+        pools.append(CrashingPool(**options))
+        return pools[-1]
 
     yield make
-    for one in made:
+    for one in pools:
         one.close()
 
 
-def give_up(here, culprit):
-    """Wait until the job of a culprit is given up; return the culprit's starts."""
-    name = format_task(culprit)
+def wait_until_abandoned(harness, poison_task):
+    """Wait until a poison task's job fails; return the number of the task's starts."""
+    name = format_task(poison_task)
     assert wait_until(
         lambda: (
-            here.status_of(culprit.job) is JobStatus.FAILED
-            or here.starts_of(name) > MOST_STARTS
+            harness.status_of(poison_task.job) is JobStatus.FAILED
+            or harness.starts_of(name) > MAX_STARTS
         ),
         SECONDS,
     )
-    return here.starts_of(name)
+    return harness.starts_of(name)
 
 
 @pytest.mark.parametrize(
@@ -140,72 +147,74 @@
     [({}, {}), ({"lasts": True}, {}), ({}, {"times": 2, "interval_ms": 10**15})],
     ids=["once", "lasting", "repeated"],
 )
-def test_a_task_that_crashes_its_minions_is_given_up(pool, shape, times):
-    here = pool()
-    here.crashing.add(format_task(task(index=2)))
-    here.log.submit(Step(6, **shape), **times)
-    here.replica.wake()
-    assert give_up(here, task(index=2)) <= MOST_STARTS
-    assert here.status_of(JOB) is JobStatus.FAILED
-
-
-def test_a_gang_whose_member_crashes_its_minions_is_given_up(pool):
-    here = pool(task_seconds=1.0)
-    here.gang_prefix = f"{JOB}.0.0."
-    here.crashing.add(format_task(task(index=1)))
-    here.submit(Step(3, gang=True, max_per_minion=1))
-    assert give_up(here, task(index=1)) <= MOST_STARTS
-    assert here.status_of(JOB) is JobStatus.FAILED
-
-
-def test_it_is_remembered_through_changes_of_the_leader(pool):
-    here = pool()
-    culprit = task(index=2)
-    name = format_task(culprit)
-    here.crashing.add(name)
-    here.submit(Step(6))
-    for starts in range(1, MOST_STARTS + 2):
+def test_the_job_of_a_task_that_crashes_its_minions_is_abandoned(pool, shape, times):
+    harness = pool()
+    harness.crashing.add(format_task(task(index=2)))
+    harness.log.submit(Step(6, **shape), **times)
+    harness.replica.wake()
+    assert wait_until_abandoned(harness, task(index=2)) <= MAX_STARTS
+    assert harness.status_of(JOB) is JobStatus.FAILED
+
+
+def test_the_job_of_a_gang_whose_member_crashes_its_minions_is_abandoned(pool):
+    harness = pool(task_seconds=1.0)
+    harness.gang_prefix = f"{JOB}.0.0."
+    harness.crashing.add(format_task(task(index=1)))
+    harness.submit(Step(3, gang=True, max_per_minion=1))
+    assert wait_until_abandoned(harness, task(index=1)) <= MAX_STARTS
+    assert harness.status_of(JOB) is JobStatus.FAILED
+
+
+def test_crashes_are_counted_across_leader_changes(pool):
+    harness = pool()
+    poison_task = task(index=2)
+    name = format_task(poison_task)
+    harness.crashing.add(name)
+    harness.submit(Step(6))
+    for starts in range(1, MAX_STARTS + 2):
         assert wait_until(
             lambda n=starts: (
-                here.starts_of(name) >= n or here.status_of(JOB) is JobStatus.FAILED
+                harness.starts_of(name) >= n
+                or harness.status_of(JOB) is JobStatus.FAILED
             ),
             SECONDS,
         )
-        if here.status_of(JOB) is JobStatus.FAILED:
+        if harness.status_of(JOB) is JobStatus.FAILED:
             break
-        here.lead_again()
-    assert here.starts_of(name) <= MOST_STARTS
-    assert here.status_of(JOB) is JobStatus.FAILED
+        harness.lead_again()
+    assert harness.starts_of(name) <= MAX_STARTS
+    assert harness.status_of(JOB) is JobStatus.FAILED
 
 
-def test_those_beside_it_are_not_given_up(pool):
-    here = pool(minions=3)
-    here.crashing.add(format_task(task(index=0)))
+def test_other_jobs_on_the_crashed_minions_succeed(pool):
+    harness = pool(minions=3)
+    harness.crashing.add(format_task(task(index=0)))
     for job in OTHER_JOBS:
-        here.log.submit(Step(4), Step(2, after=(0,)), job=job)
-    here.submit(Step(3))
-    assert give_up(here, task(index=0)) <= MOST_STARTS
+        harness.log.submit(Step(4), Step(2, after=(0,)), job=job)
+    harness.submit(Step(3))
+    assert wait_until_abandoned(harness, task(index=0)) <= MAX_STARTS
     for job in OTHER_JOBS:
         assert wait_until(
-            lambda one=job: here.status_of(one) is JobStatus.SUCCEEDED, SECONDS
+            lambda one=job: harness.status_of(one) is JobStatus.SUCCEEDED, SECONDS
         )
 
 
-def test_nothing_is_given_up_because_minions_crash_by_chance(pool):
-    here = pool(task_seconds=0.4)
+def test_no_job_is_abandoned_because_minions_crash_by_chance(pool):
+    harness = pool(task_seconds=0.4)
     for job in OTHER_JOBS:
-        here.log.submit(Step(8, lasts=job == OTHER_JOBS[0]), job=job)
-    here.replica.wake()
+        harness.log.submit(Step(8, lasts=job == OTHER_JOBS[0]), job=job)
+    harness.replica.wake()
     for _ in range(4):
-        assert wait_until(lambda: any(one.running for one in here.minions), SECONDS)
-        for minion in here.minions[:3]:
+        assert wait_until(lambda: any(one.running for one in harness.minions), SECONDS)
+        for minion in harness.minions[:3]:
             minion.crash(DOWN_SECONDS)
-        before = sum(len(one.starts) for one in here.minions)
+        before = sum(len(one.starts) for one in harness.minions)
         assert wait_until(
-            lambda n=before: sum(len(one.starts) for one in here.minions) > n, SECONDS
+            lambda n=before: sum(len(one.starts) for one in harness.minions) > n,
+            SECONDS,
         )
     for job in OTHER_JOBS[1:]:
         assert wait_until(
-            lambda one=job: here.status_of(one) is JobStatus.SUCCEEDED, SECONDS
+            lambda one=job: harness.status_of(one) is JobStatus.SUCCEEDED, SECONDS
         )
-    assert here.status_of(OTHER_JOBS[0]) is JobStatus.RUNNING
+    assert harness.status_of(OTHER_JOBS[0]) is JobStatus.RUNNING
