--- a/tests/test_crashing_task.py
+++ b/tests/test_crashing_task.py
@@ -181,7 +181,7 @@
         )
         if harness.status_of(JOB) is JobStatus.FAILED:
             break
-        harness.lead_again()
+        harness.restart_leadership()
     assert harness.starts_of(name) <= MAX_STARTS
     assert harness.status_of(JOB) is JobStatus.FAILED
 
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -90,7 +90,7 @@
     def wait_status(self, status, seconds=SECONDS):
         assert wait_until(lambda: self.log.status is status, seconds), self.log.status
 
-    def lead_again(self):
+    def restart_leadership(self):
         """End the leadership and begin one of the next term."""
         self.replica.is_leader = False
         assert wait_until(lambda: self.dispatcher.session is None, SECONDS)
@@ -106,14 +106,14 @@
 
 @pytest.fixture
 def rig():
-    made = []
+    harnesses = []
 
     def make(*minions, **options):
-        made.append(Rig(*minions, **options))
-        return made[-1]
+        harnesses.append(Rig(*minions, **options))
+        return harnesses[-1]
 
     yield make
-    for one in made:
+    for one in harnesses:
         one.close()
 
 
@@ -212,7 +212,7 @@
     harness = rig(minion)
     harness.submit(Step(3, lasts=True))
     assert wait_until(lambda: len(minion.running) == 3, SECONDS)
-    harness.lead_again()
+    harness.restart_leadership()
     assert wait_until(
         lambda: harness.dispatcher.session.watch.is_at_work(task()), SECONDS
     )
@@ -227,7 +227,7 @@
     harness.submit(Step(1, lasts=True))
     assert wait_until(lambda: minion.running, SECONDS)
     agent = harness.dispatcher.session.agent_by_minion[minion.life]
-    harness.lead_again()
+    harness.restart_leadership()
     assert wait_until(lambda: all(one.dead for one in agent.greenlets), SECONDS)
 
 
@@ -366,16 +366,16 @@
 
 
 def test_a_minion_on_which_several_jobs_fail_gets_no_runs(rig):
-    sick, sound = TaskMinion(), TaskMinion()
-    harness = rig(sick, sound)
+    failing, healthy = TaskMinion(), TaskMinion()
+    harness = rig(failing, healthy)
     assert wait_until(lambda: harness.dispatcher.session is not None, SECONDS)
     assert wait_until(lambda: harness.dispatcher.session.agent_by_minion, SECONDS)
-    health = harness.dispatcher.session.agent_by_minion[sick.life].health
+    health = harness.dispatcher.session.agent_by_minion[failing.life].health
     for number in range(3):
         health.note_trouble(f"job-{number}", lease_seconds())
     harness.submit(Step(3))
-    assert wait_until(lambda: len(sound.running) == 3, SECONDS)
-    assert not sick.starts
+    assert wait_until(lambda: len(healthy.running) == 3, SECONDS)
+    assert not failing.starts
 
 
 def test_a_stalled_task_is_restarted_elsewhere(rig, monkeypatch):
--- a/tests/test_held_back.py
+++ b/tests/test_held_back.py
@@ -83,7 +83,7 @@
 def test_a_delayed_heartbeat_does_not_take_draining_back(harness):
     deliver_heartbeat(harness, 0, 1)
     deliver_heartbeat(harness, 0, 3, is_draining=True)
-    harness.lead_again()
+    harness.restart_leadership()
     deliver_heartbeat(harness, 0, 2)
     assert harness.log.table.minion_by_id[harness.minions[0].life].is_draining
     harness.submit(Step(2))
--- a/tests/test_lasting_leases.py
+++ b/tests/test_lasting_leases.py
@@ -154,7 +154,7 @@
     harness = make_harness(*minions, terms=replace(LEASE_TERMS, lapse_seconds=60.0))
     harness.submit(Step(2, lasts=True, max_away=1, max_per_minion=1))
     assert wait_until(lambda: count_at_work(harness, 2) == 2, SECONDS)
-    harness.lead_again()
+    harness.restart_leadership()
     assert wait_until(lambda: count_at_work(harness, 2) == 2, SECONDS)
     session = harness.dispatcher.session
     if is_settled:
@@ -179,13 +179,13 @@
         refused.append(order)
         return Reply(ReplyKind.NOT_SENT)
 
-    sound, minions[0].stop = minions[0].stop, refuse
+    original_stop, minions[0].stop = minions[0].stop, refuse
     session.upkeep.evacuate([leaving], is_late=False)
     assert wait_until(lambda: refused, SECONDS)
     minions[1].polls_to_lose = 1000
     other = runs[minions[1].life].task
     assert wait_until(lambda: not session.watch.is_at_work(other), SECONDS)
-    minions[0].stop = sound
+    minions[0].stop = original_stop
     tried = len(refused)
     assert wait_until(lambda: not session.watch.evacuated, SECONDS)
     assert len(refused) >= tried
--- a/tests/test_shrinking_room.py
+++ b/tests/test_shrinking_room.py
@@ -92,7 +92,7 @@
 def test_a_report_that_was_held_back_does_not_grow_a_room_under_another_leader(room):
     room.send_heartbeat(1, cpu_millicores=16_000)
     room.send_heartbeat(5, cpu_millicores=2000)
-    room.lead_again()
+    room.restart_leadership()
     room.send_heartbeat(3, cpu_millicores=16_000)
     assert room.registered_capacity[0] == 2000
     room.send_heartbeat(6, cpu_millicores=8000)
--- a/tests/test_silent_minion.py
+++ b/tests/test_silent_minion.py
@@ -136,10 +136,10 @@
 def test_a_poll_that_raises_ends_the_leadership_and_the_next_one_polls(pair):
     harness, busy, _ = pair
     first = harness.dispatcher.session
-    sound = busy.look
+    original_look = busy.look
 
     def fail(order, seconds):
-        busy.look = sound
+        busy.look = original_look
         raise RuntimeError("a fault of the program")
 
     busy.look = fail
@@ -159,7 +159,7 @@
         if not one.dead
     ]
     assert len(greenlets) >= 4
-    harness.lead_again()
+    harness.restart_leadership()
     assert wait_until(lambda: all(one.dead for one in greenlets), SECONDS)
 
 
