--- a/tests/order_world.py
+++ b/tests/order_world.py
@@ -279,7 +279,7 @@
 
 
 class SimulatedReplica:
-    """One replica of a group, with a dispatcher and a job service.
+    """One of two replicas that share a log, with a dispatcher and a job service.
 
     `is_leader`
         Whether it takes itself for the leader; it stays true for a while after
