--- a/tests/test_duration.py
+++ b/tests/test_duration.py
@@ -12,7 +12,7 @@
 from hingepitch.jobs.record import JobStatus
 from hingepitch.jobs.spec import Step
 from standin.taskminion import TaskMinion
-from tests.test_dispatch import SECONDS, Rig
+from tests.test_dispatch import SECONDS, DispatchHarness
 from tests.test_job_rules import HOST, JOB, Log, make_config
 
 ROUTE = ("queue.example", "/q/")
@@ -96,7 +96,7 @@
 
 
 def test_a_leader_learns_from_the_runs_that_end():
-    harness = Rig(TaskMinion(task_seconds=0.2))
+    harness = DispatchHarness(TaskMinion(task_seconds=0.2))
     try:
         harness.submit(Step(3, estimate_ms=10))
         harness.wait_status(JobStatus.SUCCEEDED)
--- a/tests/test_load_backlog.py
+++ b/tests/test_load_backlog.py
@@ -17,7 +17,7 @@
 from hingepitch.jobs.spec import Step
 from hingepitch.jobs.table import ResourceUsage
 from standin.taskminion import TaskMinion
-from tests.test_dispatch import SECONDS, Rig
+from tests.test_dispatch import SECONDS, DispatchHarness
 from tests.test_job_rules import Log, make_config, make_minion
 
 MINIONS = 7
@@ -80,7 +80,7 @@
         return plan_starts(table, plan_context)
 
     monkeypatch.setattr(session_module, "plan_starts", long_pass)
-    harness = Rig(TaskMinion(task_seconds=0.05))
+    harness = DispatchHarness(TaskMinion(task_seconds=0.05))
     try:
         harness.submit(Step(1))
         assert wait_until(lambda: clock_offset[0] > 0, SECONDS)
--- a/tests/test_malformed_messages.py
+++ b/tests/test_malformed_messages.py
@@ -26,7 +26,7 @@
 from hingepitch.request import Answer
 from standin.taskminion import TaskMinion
 from tests.memory_minion import MemoryMinion
-from tests.test_dispatch import SECONDS, Rig
+from tests.test_dispatch import SECONDS, DispatchHarness
 from tests.test_job_rules import JOB, make_minion, task
 from tests.test_platform import CONFIG, HEARTBEAT, ApiHarness
 
@@ -53,7 +53,7 @@
 
 @pytest.fixture
 def rig():
-    made = Rig(TaskMinion(task_seconds=0.05), connect=HttpMinion)
+    made = DispatchHarness(TaskMinion(task_seconds=0.05), connect=HttpMinion)
     yield made
     made.close()
 
@@ -218,7 +218,7 @@
 
 def test_run_that_an_unreadable_row_may_hide_is_not_restarted():
     minion = UnreadableRowsMinion(task_seconds=0.8)
-    rig = Rig(minion, connect=lambda record: minion)
+    rig = DispatchHarness(minion, connect=lambda record: minion)
     try:
         rig.submit(Step(1))
         rig.wait_status(JobStatus.SUCCEEDED)
--- a/tests/test_mover.py
+++ b/tests/test_mover.py
@@ -16,7 +16,7 @@
 from hingepitch.jobs.queue import Queue, QueuePool
 from hingepitch.jobs.spec import Step
 from standin.taskminion import TaskMinion
-from tests.test_dispatch import SECONDS, Rig
+from tests.test_dispatch import SECONDS, DispatchHarness
 from tests.test_job_rules import HOST, make_config, make_minion, task
 
 TERMS = PoolTerms(floor=1, idle_seconds=0.3, lend_seconds=0.1)
@@ -50,7 +50,7 @@
 
 @pytest.fixture
 def harness():
-    made = Rig(TaskMinion(), TaskMinion())
+    made = DispatchHarness(TaskMinion(), TaskMinion())
     queue = Queue("q", HOST, "/q/", "pool", timeout_ms=1)
     pools = (QueuePool("pool"), QueuePool("off", is_spare=True))
     made.log.send(commands.PutQueues(make_config(2, queues=(queue,), pools=pools)))
--- a/tests/test_pace.py
+++ b/tests/test_pace.py
@@ -15,7 +15,7 @@
 from hingepitch.jobs.record import JobStatus
 from hingepitch.jobs.spec import Step, TaskKey
 from standin.taskminion import TaskMinion
-from tests.test_dispatch import SECONDS, Rig
+from tests.test_dispatch import SECONDS, DispatchHarness
 from tests.test_job_rules import HOST, JOB, make_config, make_minion
 
 
@@ -56,7 +56,7 @@
 @pytest.fixture
 def advised_harness():
     minions = [TaskMinion(task_seconds=0.05), TaskMinion(task_seconds=0.05)]
-    harness = Rig(*minions)
+    harness = DispatchHarness(*minions)
     advice = AdviceTerms(0, 0, int(MARGIN_SECONDS * 1000) + 1000)
     queue = Queue("q", HOST, "/q/", "pool", timeout_ms=1, attempts=1, advice=advice)
     harness.log.send(commands.PutQueues(make_config(2, queues=(queue,))))
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -17,7 +17,7 @@
 from hingepitch.jobs.service import JobService
 from hingepitch.jobs.spec import Step, TaskKey
 from hingepitch.metric import Metrics
-from tests.test_dispatch import OneReplica
+from tests.test_dispatch import SingleReplica
 from tests.test_job_rules import HOST, JOB, Log, task
 
 SETTINGS = """
@@ -176,7 +176,7 @@
 
     def __init__(self):
         self.log = Log()
-        self.replica = OneReplica(self.log)
+        self.replica = SingleReplica(self.log)
         self.service = JobService(self.replica, MinionRoster(), None, "test")
         client = JobClient(None, self.replica, self.service)
         front = FrontApi(client, Metrics("test")).make()
--- a/tests/test_repeated_actions.py
+++ b/tests/test_repeated_actions.py
@@ -18,16 +18,18 @@
 from hingepitch.planner.placement import MAX_LOSSES, plan_tasks, task_name
 from hingepitch.planner.view import TaskState
 from standin.taskminion import TaskMinion
-from tests.test_dispatch import SECONDS, rig
+from tests.test_dispatch import SECONDS, make_harness
 from tests.test_fleet import Fleet, submit
 from tests.test_job_rules import task
 
-__all__ = ["rig"]
+__all__ = ["make_harness"]
 
 
-def test_a_long_running_task_that_ends_at_once_is_started_ever_more_rarely(rig):
+def test_a_long_running_task_that_ends_at_once_is_started_ever_more_rarely(
+    make_harness,
+):
     minion = TaskMinion(task_seconds=0.01)
-    harness = rig(minion)
+    harness = make_harness(minion)
     harness.submit(Step(1, lasts=True))
     assert wait_until(lambda: len(minion.starts) > 1, SECONDS)
     gevent.sleep(2.0)
@@ -70,12 +72,14 @@
     assert len(restarts.backoff_by_task) == MAX_TASKS
 
 
-def test_a_task_that_stalls_on_every_minion_is_moved_ever_more_rarely(rig, monkeypatch):
+def test_a_task_that_stalls_on_every_minion_is_moved_ever_more_rarely(
+    make_harness, monkeypatch
+):
     monkeypatch.setattr(health_module, "STALL_SECONDS", 0.3)
     monkeypatch.setattr(health_module, "MIN_JOBS_TO_EXCLUDE", 100)
     monkeypatch.setattr(watch_module, "STALLS_BEFORE_DOUBLING", 2)
     minions = [TaskMinion() for _ in range(3)]
-    harness = rig(*minions)
+    harness = make_harness(*minions)
     harness.submit(Step(1))
 
     def starts():
--- a/tests/test_silent_connections.py
+++ b/tests/test_silent_connections.py
@@ -12,14 +12,14 @@
 from hingepitch.jobs.spec import Step
 from standin.relay import Relay
 from standin.taskminion import TaskMinion
-from tests.test_dispatch import SECONDS, Rig
+from tests.test_dispatch import SECONDS, DispatchHarness
 from tests.test_job_rules import make_minion
 
 #: Duration of a long poll at the minion, its timeout and the pause after it.
 POLL_SECONDS = 2.0
 
 
-class RelayedHarness(Rig):
+class RelayedHarness(DispatchHarness):
     """Dispatcher harness whose minions are reached through relays."""
 
     def register(self, number, minion):
--- a/tests/test_suspended.py
+++ b/tests/test_suspended.py
@@ -22,10 +22,10 @@
 from hingepitch.jobs.service import JobService
 from hingepitch.jobs.spec import Step
 from standin.taskminion import TaskMinion
-from tests.test_dispatch import SECONDS, rig
+from tests.test_dispatch import SECONDS, make_harness
 from tests.test_job_rules import HOST
 
-__all__ = ["rig"]
+__all__ = ["make_harness"]
 
 ROOT = Path(__file__).parent.parent
 
@@ -63,9 +63,9 @@
     assert found == ["clock.py"]
 
 
-def test_a_resumed_leader_sends_no_order_before_it_is_confirmed(rig, suspend):
+def test_a_resumed_leader_sends_no_order_before_it_is_confirmed(make_harness, suspend):
     minion = TaskMinion()
-    harness = rig(minion)
+    harness = make_harness(minion)
     assert wait_until(lambda: harness.dispatcher.session is not None, SECONDS)
     session = harness.dispatcher.session
     assert wait_until(session.may_order, SECONDS)
@@ -79,10 +79,10 @@
 
 
 def test_the_lease_of_an_unresponsive_minion_expires_while_the_leader_is_suspended(
-    rig, suspend
+    make_harness, suspend
 ):
     first, second = TaskMinion(), TaskMinion()
-    harness = rig(first)
+    harness = make_harness(first)
     harness.submit(Step(1, lasts=True))
     assert wait_until(lambda: first.running, SECONDS)
     first.faults.looks += ["dropped"] * 50
@@ -95,8 +95,8 @@
     assert wait_until(lambda: second.running, SECONDS)
 
 
-def test_a_read_after_resuming_is_confirmed_again(rig, suspend):
-    harness = rig(TaskMinion())
+def test_a_read_after_resuming_is_confirmed_again(make_harness, suspend):
+    harness = make_harness(TaskMinion())
     service = JobService(harness.replica, harness.roster, None, "test")
     question = AskPending(HOST, "/q/")
     assert service.answer(question) == 0
--- a/tests/test_task_starvation.py
+++ b/tests/test_task_starvation.py
@@ -18,7 +18,7 @@
 from hingepitch.jobs.spec import Step
 from hingepitch.jobs.upkeep import UpkeepController
 from standin.taskminion import TaskMinion
-from tests.test_dispatch import SECONDS, Rig
+from tests.test_dispatch import SECONDS, DispatchHarness
 from tests.test_job_plan import OTHER_JOB, make_log
 from tests.test_job_rules import JOB, make_minion, task
 
@@ -150,7 +150,9 @@
 
 
 def test_a_leader_tracks_how_long_a_step_waits_for_its_rack():
-    harness = Rig(TaskMinion(task_seconds=0.5), TaskMinion(task_seconds=0.5))
+    harness = DispatchHarness(
+        TaskMinion(task_seconds=0.5), TaskMinion(task_seconds=0.5)
+    )
     try:
         harness.submit(Step(2, cpu_millicores=16_000))
         assert wait_until(lambda: len(harness.log.table.run_by_task) == 2, SECONDS)
@@ -181,7 +183,7 @@
 
 def test_a_task_whose_vm_is_lost_while_a_wave_drains_it_runs_elsewhere():
     minions = (TaskMinion(), TaskMinion())
-    harness = Rig(*minions)
+    harness = DispatchHarness(*minions)
     try:
         harness.submit(Step(1, lasts=True))
         assert wait_until(lambda: harness.dispatcher.session is not None, SECONDS)
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -17,7 +17,7 @@
 from hingepitch.jobs.spec import Step
 from hingepitch.jobs.upkeep import UpkeepController, required_concurrency
 from standin.taskminion import TaskMinion
-from tests.test_dispatch import SECONDS, Rig
+from tests.test_dispatch import SECONDS, DispatchHarness
 from tests.test_job_rules import JOB, make_minion, task
 
 UPKEEP_SECONDS = 0.4
@@ -74,7 +74,7 @@
 
 @pytest.fixture
 def harness():
-    made = Rig(*(TaskMinion(task_seconds=0.3) for _ in range(4)))
+    made = DispatchHarness(*(TaskMinion(task_seconds=0.3) for _ in range(4)))
     assert wait_until(lambda: made.dispatcher.session is not None, SECONDS)
     yield made
     made.close()
