--- a/tests/consensus_driver.py
+++ b/tests/consensus_driver.py
@@ -300,7 +300,7 @@
         """Check that a read sees all changes acknowledged before it."""
         self.read_count += 1
         if index < self.reads[token]:
-            raise InvariantViolation("a read that misses an acknowledged change")
+            raise InvariantViolation("a read misses an acknowledged change")
 
     def settle(self):
         """Heal the network; check that each replica has all acknowledged changes."""
--- a/tests/power_replica.py
+++ b/tests/power_replica.py
@@ -75,7 +75,7 @@
         return self.replica.is_leader and core.commit_index == core.log.last_index
 
     def propose_vm(self):
-        """Propose one VM; the first call proposes its pool before."""
+        """Propose one VM; the first call proposes its pool first."""
         if not self.number:
             self.propose(PutPool("pool"), "pool")
         self.number += 1
--- a/tests/scene.py
+++ b/tests/scene.py
@@ -171,6 +171,7 @@
             self.accepted[partner].append((name, outcome["version"]))
 
     def burst_both(self, count):
+        """Start a thread with `burst` for each partner; return the threads."""
         threads = [
             threading.Thread(target=self.burst, args=(partner, count), daemon=True)
             for partner in PARTNERS
@@ -216,7 +217,7 @@
     def entry_version(self, name):
         status = self.cluster.status(name)
         if status is None:
-            raise ValueError("no status")
+            raise ValueError("the entry reports no status")
         return status["version"]
 
     def read(self, address, kind):
@@ -254,6 +255,7 @@
         wait_for(leads, 10, "another leader")
 
     def behave(self, names, **behaviour):
+        """Change how the minions of the named VMs answer, such as `delay_ms`."""
         for name in names:
             self.cluster.call_simulation("/behave", {"vm": name, **behaviour})
 
--- a/tests/steps/failure.py
+++ b/tests/steps/failure.py
@@ -22,8 +22,11 @@
         vms = scene.cluster.objects("vm")
         return all(vms[name]["life"] == "lost" for name in names)
 
-    wait_for(are_lost, what="the loss to be noticed")
-    wait_for(lambda: down_now(scene, "prescriptions") == names, what="the last return")
+    wait_for(are_lost, what="the lost VMs to be reported lost")
+    wait_for(
+        lambda: down_now(scene, "prescriptions") == names,
+        what="the other VMs to return",
+    )
     scene.saved_values["reboots"] = len(scene.reboots_of("prescriptions"))
 
 
--- a/tests/steps/outcome.py
+++ b/tests/steps/outcome.py
@@ -60,7 +60,7 @@
         there = {vm["name"] for vm in vms if vm["pool"] == "second"}
         return there == wanted and all(vm["life"] == "live" for vm in vms)
 
-    wait_for(are_there, 30, "the moves")
+    wait_for(are_there, 30, "the VMs to move")
 
 
 @then("no VM was moved more than once")
@@ -94,12 +94,12 @@
 
 
 @then("nothing that was said not to have run did run")
-def not_run_is_true(scene):
+def refused_requests_did_not_run(scene):
     assert scene.verdict().not_run_but_ran == 0
 
 
 @then("no request without a repeat ran twice")
-def none_twice(scene):
+def no_request_ran_twice(scene):
     assert scene.verdict().ran_twice == 0
 
 
@@ -131,7 +131,7 @@
 
 @then(parsers.parse("the first reboot of {partner} comes"))
 def first_reboot(scene, partner):
-    wait_for(lambda: scene.reboots_of(partner), 30, "a reboot")
+    wait_for(lambda: scene.reboots_of(partner), 30, "a reboot of a VM of the partner")
 
 
 @then(
@@ -154,8 +154,8 @@
 
 @then(parsers.parse("the entry {name} serves again"))
 def entry_serves(scene, name):
-    wait_for(lambda: scene.healthz(name) == 200, 10, "the health check")
-    wait_for(lambda: scene.order(name, "again")[0] == 200, 10, "an answer")
+    wait_for(lambda: scene.healthz(name) == 200, 10, "the health check to succeed")
+    wait_for(lambda: scene.order(name, "again")[0] == 200, 10, "an answer to the order")
 
 
 @then("nothing was cut off")
@@ -171,7 +171,7 @@
 
 
 @then("the stops ended with exit code 0")
-def stopped_well(scene):
+def stops_succeeded(scene):
     assert scene.stopped == [0] * len(scene.entries)
 
 
@@ -240,7 +240,10 @@
         return status and status["applied_index"] >= target
 
     wait_for(is_back, what="the replica to catch up")
-    wait_for(lambda: scene.healthz(name) == 200, what="its health")
+    wait_for(
+        lambda: scene.healthz(name) == 200,
+        what="the health check to succeed",
+    )
 
 
 @then("the audit trail shows every change once")
--- a/tests/test_any_folder.py
+++ b/tests/test_any_folder.py
@@ -21,8 +21,8 @@
 CHANGES = 40
 MIN_SNAPSHOT_ENTRIES = 15
 
-#: Longest range of a file that is zeroed or overwritten, in bytes.
-STRETCH_BYTES = 3000
+#: Length limit of the range of a file that is zeroed or overwritten, in bytes.
+MAX_RANGE_BYTES = 3000
 
 
 def cut(data, rng):
@@ -52,8 +52,9 @@
 
 
 def stretch(data, rng):
+    """Return the start and the end of a random range of `data`."""
     start = rng.randrange(len(data) + 1)
-    return start, min(len(data), start + rng.randrange(STRETCH_BYTES))
+    return start, min(len(data), start + rng.randrange(MAX_RANGE_BYTES))
 
 
 def removed(data, rng):
@@ -98,7 +99,7 @@
         assert opened.core.voters == ["c1"]
 
 
-# Guards against: a start that ends because of damage to a file of its data folder.
+# Guards against: a program that ends at its start because a file is damaged.
 def test_a_folder_with_any_damage_opens(replica):
     files = read_folder(replica.folder)
     kinds = {path.rpartition("/")[2].partition("-")[0] for path in files}
--- a/tests/test_audit_trail.py
+++ b/tests/test_audit_trail.py
@@ -88,7 +88,7 @@
     again.close()
 
 
-def test_a_damaged_line_hides_no_other_record(disk):
+def test_a_damaged_line_does_not_hide_other_records(disk):
     trail = open_trail(disk)
     position = fill(trail, 1, 9)
     trail.close()
--- a/tests/test_disk_states.py
+++ b/tests/test_disk_states.py
@@ -50,7 +50,7 @@
 #: Prefix of the payload of entries that stand for operator commands.
 AUDITED = b"operator"
 
-#: Writes and the truncations that undo them; a disk may refuse both.
+#: Writes, and the truncations that undo a failed write; a disk may refuse both.
 UNDOING_NAMES = ("write", "truncate")
 SYNCING_NAMES = ("sync", "sync_folder")
 
@@ -64,6 +64,8 @@
         Number of disk calls of the step that succeed first.
     `seed`
         Seed of the outcome of a power loss.
+    `count`, `names`, `part`
+        Refused calls, as in `Refusal`; a kill refuses all later calls.
     """
 
     kind: str
--- a/tests/test_earlier_forms.py
+++ b/tests/test_earlier_forms.py
@@ -3,9 +3,9 @@
 After a rolling restart, new code reads old files: one record for each entry,
 snapshots without a checksum, an audit trail without a synced position. The folders
 under `tests/data/earlier` were written by that version (`make_earlier.py`). They
-must be readable, accept new data and survive power losses. A trail torn in its
-middle once kept programs from starting; it is truncated after the last record that
-the snapshot covers.
+must be readable, accept new data and survive power losses. An audit trail torn in its
+middle must not keep a program from starting: the start truncates it after the last
+record that the snapshot covers.
 """
 
 import json
@@ -246,12 +246,12 @@
         assert names(audit) == ALL_NAMES, seed
         audit.close()
     audit = open_trail(folder)
-    mark = audit.sync()
+    position = audit.sync()
     audit.close()
-    assert mark.index == LAST_INDEX
-    with open(folder / f"audit-{mark.number:06}.jsonl", "ab") as file:
+    assert position.index == LAST_INDEX
+    with open(folder / f"audit-{position.number:06}.jsonl", "ab") as file:
         file.write(b"\x00" * 50 + b"torn\n")
     audit = AuditTrail(folder)
-    audit.open(mark, LAST_INDEX)
+    audit.open(position, LAST_INDEX)
     assert names(audit) == ALL_NAMES
     audit.close()
--- a/tests/test_every_call.py
+++ b/tests/test_every_call.py
@@ -98,7 +98,7 @@
     assert one.acked[-1][0] == one.proposed_ids[-1]
 
 
-def lose_in_every_call(make_replica, prepare, step, verify):
+def lose_power_in_every_call(make_replica, prepare, step, verify):
     """Lose power in each disk call of `step`, for each seed; return their number."""
     counted = make_replica(0)
     prepare(counted)
@@ -119,7 +119,9 @@
 
 
 def test_power_loss_in_every_call_of_a_first_start_and_of_changes(make_replica):
-    calls = lose_in_every_call(make_replica, lambda one: None, start_and_change, check)
+    calls = lose_power_in_every_call(
+        make_replica, lambda one: None, start_and_change, check
+    )
     assert calls > 2 * CHANGES
 
 
@@ -131,7 +133,7 @@
 
 
 def test_power_loss_in_every_call_of_a_start_after_a_power_loss(make_replica):
-    calls = lose_in_every_call(make_replica, prepare_a_folder, start, check)
+    calls = lose_power_in_every_call(make_replica, prepare_a_folder, start, check)
     assert calls > 4
 
 
@@ -169,7 +171,7 @@
 
 
 def test_power_loss_in_every_call_of_a_snapshot_install(make_replica):
-    calls = lose_in_every_call(
+    calls = lose_power_in_every_call(
         make_replica, prepare_a_follower, install, check_installed
     )
     assert calls > 8
--- a/tests/test_load_backlog.py
+++ b/tests/test_load_backlog.py
@@ -1,12 +1,12 @@
 """Planning passes with a backlog that exceeds the free capacity of its pool.
 
-Guards against a pass whose work grows with the steps that cannot start. Each pass
-checked every minion of the pool for every waiting step, 47 ms for 999 steps and 70
-minions, and each change caused a pass. The leader had no time left to start tasks of
-other pools or to record ended runs, so the backlog stayed after the load peak and
-after a restart of all machines, and jobs of all kinds failed. The number of capacity
-checks in a pass must not grow with the backlog, and a long pass must be followed by
-an equally long pause.
+Guards against a pass whose work grows with the number of steps that cannot start. Each
+pass checked every minion of the pool for every waiting step, which took 47 ms for 999
+steps and 70 minions, and each change caused a pass. The leader had no time left to
+start tasks of other pools or to record ended runs, so the backlog stayed after the load
+peak and after a restart of all machines, and jobs of all kinds failed. The number of
+capacity checks in a pass must not grow with the backlog, and a long pass must be
+followed by an equally long pause.
 """
 
 import pytest
--- a/tests/test_load_wave.py
+++ b/tests/test_load_wave.py
@@ -1,10 +1,10 @@
 """A maintenance wave over many VMs of pools with long-running tasks.
 
-Guards against faults that left six VMs undone at the deadline of a wave over 112 of
-272 VMs, 45 at once. VMs in maintenance still counted as capacity, so their pools got
-no replacements. Long-running tasks were moved from one VM of the wave to the next.
-And as a task leaves only while the others of its step are at work, the last ones left
-2 s late, one every 1 to 3.7 s.
+Guards against three faults that left six VMs without maintenance at the deadline of a
+wave over 112 of 272 VMs, 45 at once. VMs in maintenance still counted as capacity, so
+their pools got no replacements. Long-running tasks were moved from one VM of the wave
+to the next. And a task leaves its VM only while the other tasks of its step are known
+to be at work, so the last tasks left 2 s late, one every 1 to 3.7 s.
 """
 
 from types import SimpleNamespace
--- a/tests/test_many_queues.py
+++ b/tests/test_many_queues.py
@@ -1,10 +1,10 @@
 """The cost of a job and of a decision on moves with 8 and with 1,888 queues.
 
-Guards against searches through all queues for each job on every replica, for each
+Guards against a search through all queues for each job on every replica, for each
 request about a queue and for each decision on moves. Without an index by host and
-path, they added to the load of a leader whose whole processor was in use during a
-load peak with 1,880 additional queues. The tests record the queues that are read:
-they must be the same few for both sizes.
+path, these searches added to the load of a leader whose processor was fully used in a
+load peak with 1,880 additional queues. The tests record which queues are read: the
+same few for both numbers of queues.
 """
 
 from types import SimpleNamespace
--- a/tests/test_mover.py
+++ b/tests/test_mover.py
@@ -267,9 +267,9 @@
     assert controller.demand.wanted("pool", nothing, now + 1) == TERMS.floor
 
 
-# Guards against two runs of a task at once: an earlier leader had carried out the
-# move already, and the answer to the repeated order ended the incarnation that
-# the move had started, while its runs went on.
+# Guards against two runs of a task at once: an earlier leader had already carried out
+# the move, and the reply to the repeated order ended the new incarnation of the moved
+# VM, while its runs went on.
 def test_a_completed_move_ordered_again_ends_no_life_that_came_by_it(harness):
     api = FleetApi({"vm-0": "pool", "vm-1": "pool"})
     session = harness.dispatcher.session
--- a/tests/test_power_loss.py
+++ b/tests/test_power_loss.py
@@ -1,11 +1,11 @@
-"""Control programs that fail at each start after a power loss.
-
-The audit trail is written in pieces that no sync covers. After a power loss during
-operator changes, a piece can be missing or torn in front of one that remained, and
-the start decoded it as a line: three of five control programs ended with an uncaught
-decode error at every start. Without a quorum there was no leader, no configuration
-and no answer to jobs. The simulated disk keeps what the syncs cover and leaves the
-rest to chance.
+"""Tests that a replica starts after power losses during operator changes.
+
+They guard against an audit trail that ends the program. No sync covers the latest
+writes to the trail, so a power loss can drop or tear one of them and keep a later one.
+The start decoded the torn part as a line, and three of five control programs ended
+with an uncaught decode error at every start. Without a quorum there was no leader, no
+configuration and no answer to jobs. The simulated disk keeps what the syncs cover and
+a random part of the rest.
 """
 
 import pytest
--- a/tests/test_review_findings.py
+++ b/tests/test_review_findings.py
@@ -1,9 +1,9 @@
 """Regression tests of the data folder and the address book.
 
-They guard against a disk error during the bootstrap that leaves the replica outside
-of its group, concurrent saves that lose the address book, deeply nested data that
-ends a start, a missing sync of what a start has read, and a missing sync of the
-folder between quarantining the identity and its log.
+They guard against these faults: a disk error during the bootstrap leaves the replica
+outside of its group; concurrent saves make the address book unreadable; deeply nested
+data ends the program at its start; a start does not sync the entries it has read; the
+folder is not synced between quarantining the identity and its log.
 """
 
 import random
@@ -84,7 +84,7 @@
     assert recovered.members == MEMBERS
 
 
-def end(storage):
+def close_without_flush(storage):
     """Close the files without flushing, as a kill does."""
     for file in (storage.segment, storage.lock_file):
         if file is not None:
@@ -107,16 +107,16 @@
     disk.refuse(Refusal(names=("sync", "truncate"), count=2))
     with pytest.raises(HingepitchError):
         storage.write(None, [entry(2)])
-    end(storage)
+    close_without_flush(storage)
     disk.refuse(None)
     storage = Storage(tmp_path, "c1", disk)
     read = storage.open().entries
     assert read == [entry(1), entry(2)]
-    end(storage)
+    close_without_flush(storage)
     disk.lose_power(random.Random(seed))
     storage = Storage(tmp_path, "c1", disk)
     assert storage.open().entries == read
-    end(storage)
+    close_without_flush(storage)
 
 
 @pytest.mark.parametrize("seed", range(30))
@@ -130,7 +130,7 @@
     storage.write((5, "c1"), [entry(1)])
     for index in range(2, 5):
         storage.write(None, [entry(index)])
-    end(storage)
+    close_without_flush(storage)
     path = next(tmp_path.glob("segment-*"))
     damaged = bytearray(path.read_bytes())
     damaged[30] ^= 1
@@ -140,11 +140,11 @@
     storage = Storage(tmp_path, "c1", disk)
     with suppress(OSError):
         storage.open()
-    end(storage)
+    close_without_flush(storage)
     disk.lose_power(random.Random(seed))
     storage = Storage(tmp_path, "c1", disk)
     assert storage.open().identity != "c1"
-    end(storage)
+    close_without_flush(storage)
 
 
 def test_a_deeply_nested_audit_line_is_unreadable():
--- a/tests/test_set_aside.py
+++ b/tests/test_set_aside.py
@@ -1,10 +1,10 @@
 """Tests of the quarantine of a damaged log, also under power losses.
 
-A replica that cannot read its log must not end at each start. The log is
-quarantined, and the replica starts like one that lost its disk. The tests inject a
-power loss into each disk call of the quarantine, with several outcomes. Afterwards
-the replica must have a new identity without votes and entries, and each file of
-the old log must be kept for the operator.
+A replica that cannot read its log must not end at each start. It quarantines the log
+and starts like a replica that lost its disk. The tests inject a power loss into each
+disk call of the quarantine, with several outcomes. Afterwards the replica must have a
+new identity without votes and entries, and each file of the old log must be kept for
+the operator.
 """
 
 import random
@@ -38,9 +38,9 @@
     audit.open()
     storage.write((1, "c1"), [entry(1), entry(2)])
     audit.add(AuditRecord(1, 1, "journeys", "someone", "PutVm", "vm", "vm-1"))
-    mark = audit.sync()
+    position = audit.sync()
     if snapshot_index:
-        snapshot = Snapshot(snapshot_index, 1, MEMBERS, b"state", trail=mark)
+        snapshot = Snapshot(snapshot_index, 1, MEMBERS, b"state", trail=position)
         storage.save_snapshot(snapshot, [entry(2)])
     storage.write(None, [entry(3)])
     storage.write(None, [entry(4)])
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("snapshot_index", [0, 1])
 @pytest.mark.parametrize("name", ["identity", "segment-*", "snapshot-*"])
-def test_a_quarantine_that_losses_cut_short_is_completed(
+def test_a_quarantine_that_power_losses_cut_short_is_completed(
     tmp_path, name, snapshot_index
 ):
     for seed in SEEDS:
@@ -109,10 +109,10 @@
     storage, recovered = open_all(folder, PowerDisk(folder))
     assert recovered.identity.startswith("c1~")
     assert not storage.quarantine_reason
-    fill_again = Storage(folder, "c1")
-    fill_again.open()
-    fill_again.write((1, "c1"), [entry(1)])
-    fill_again.close()
+    storage = Storage(folder, "c1")
+    storage.open()
+    storage.write((1, "c1"), [entry(1)])
+    storage.close()
     damage(folder / "identity")
     storage, _ = open_all(folder, PowerDisk(folder))
     assert storage.quarantine_reason
@@ -120,7 +120,8 @@
     assert (folder / "notes.txt").read_bytes() == b"of the operator"
 
 
-# Guards against: a replica that votes again because its earlier vote is lost.
+# Guards against: a replica that votes twice in one term, because the files with its
+# first vote were removed: the segments, or the segments and the snapshot.
 @pytest.mark.parametrize("gone", ["segment-*", "s*-*"])
 def test_a_folder_that_lacks_what_it_once_voted_by_is_quarantined(tmp_path, gone):
     one = PowerReplica(tmp_path / "data")
--- a/tests/test_slow_disk.py
+++ b/tests/test_slow_disk.py
@@ -76,7 +76,7 @@
         self.storage = GatedStorage()
         self.links = Links()
         roster = SimpleNamespace(take_over=lambda now: None)
-        audit = SimpleNamespace(open=lambda mark, index: None)
+        audit = SimpleNamespace(open=lambda position, index: None)
         self.replica = Replica(
             self.storage, audit, self.links, roster, lambda identity: identity, "1"
         )
--- a/tests/test_snapshot_transfer.py
+++ b/tests/test_snapshot_transfer.py
@@ -110,7 +110,7 @@
     assert pair.snapshots == 1
 
 
-def test_a_replica_that_waits_for_the_snapshot_costs_no_more_messages(pair):
+def test_a_snapshot_in_transit_causes_at_most_one_append_round_per_tick(pair):
     sent = []
     deliver = pair.deliver
     pair.deliver = lambda message: (sent.append(message.kind), deliver(message))
--- a/tests/test_start_stays.py
+++ b/tests/test_start_stays.py
@@ -1,4 +1,4 @@
-"""Tests that a control keeps running, and says why, if its data folder is unusable.
+"""Tests that a control with an unusable data folder runs and reports the cause.
 
 A control that ended at each start could not report the cause, and with two other
 disks lost the group had no quorum. Torn data is truncated and damaged data
@@ -51,7 +51,8 @@
         StopIteration(),
     ],
 )
-# Guards against: an error of the data folder that ends the program at its start.
+# Guards against: a program that ends at its start because opening its data folder
+# raises an error.
 def test_a_start_outlives_any_error_of_its_data_folder(folder, monkeypatch, error):
     replica = make_replica(folder)
     errors = [error, error]
@@ -90,7 +91,8 @@
     again.close()
 
 
-# Guards against: a control that serves reads before it has read its state.
+# Guards against: a replica that answers reads, confirms leadership or queues messages
+# before it has opened its data folder.
 def test_a_replica_that_is_not_open_knows_nothing_and_keeps_nothing(folder):
     replica = make_replica(folder)
     assert not replica.is_leader
@@ -108,7 +110,8 @@
     replica.close()
 
 
-# Guards against: a planned stop during a waiting start that is reported as failure.
+# Guards against: a planned stop that is reported as a failure because the program
+# still waits for its data folder.
 def test_a_waiting_start_can_be_stopped(folder, monkeypatch):
     def refuse(self, *arguments):
         raise OSError("refused")
@@ -158,7 +161,7 @@
         wait_for(lambda: not site.status(ip)["storage_fault"], what="the open folder")
         assert folder_metrics(site, ip) == (0, 0)
         # Without two other replicas, its vote is needed for a quorum.
-        for gone in site.control_ips[3:]:
-            site.process_by_ip[gone].kill()
+        for other in site.control_ips[3:]:
+            site.process_by_ip[other].kill()
         assert site.put_config(3) == 200
         assert process.is_running()
--- a/tests/test_start_waits.py
+++ b/tests/test_start_waits.py
@@ -128,7 +128,7 @@
 
 @pytest.mark.parametrize("error", [RuntimeError("no thread"), OverflowError("x")])
 def test_nothing_is_written_after_a_failed_write(error):
-    """A write that fails for a reason other than the disk leaves a gap, too."""
+    """A failed write leaves a gap in the log, whatever the cause of the failure."""
 
     class Store:
         def __init__(self):
--- a/tests/test_storage.py
+++ b/tests/test_storage.py
@@ -62,7 +62,7 @@
     assert recovered.members == MEMBERS
 
 
-def test_torn_write_at_every_byte_of_the_last_record(folder):
+def test_a_last_record_torn_at_any_byte_is_truncated(folder):
     write_entries(folder, [entry(1)])
     whole = segment(folder).read_bytes()
     write_entries(folder, [entry(2)])
@@ -178,6 +178,7 @@
 
 
 def test_unsynced_data_of_a_killed_program_lasts_once_it_was_read(folder):
+    """A start relies on the log it reads, and must sync it for that."""
     for seed in LOSS_SEEDS:
         disk = PowerDisk(folder)
         storage = Storage(folder, "c1", disk)
@@ -299,7 +300,7 @@
     assert (recovered.term, recovered.voted_for) == (2, "c2")
 
 
-def test_entries_behind_a_snapshot_are_in_the_segment_it_names(folder):
+def test_entries_after_a_snapshot_are_in_the_segment_it_names(folder):
     storage, _ = open_storage(folder)
     storage.write((4, "c1"), [entry(1), entry(2), entry(3)])
     storage.save_snapshot(Snapshot(1, 1, MEMBERS, b"state"), [entry(2), entry(3)])
@@ -311,6 +312,7 @@
 
 
 def test_files_that_a_snapshot_voided_may_come_back(folder):
+    """A power loss can undo the removal of old files; a start ignores them."""
     storage, _ = open_storage(folder)
     storage.write((1, "c1"), [entry(1), entry(2), entry(3)])
     before = contents(folder)
--- a/tests/test_task_starvation.py
+++ b/tests/test_task_starvation.py
@@ -40,15 +40,15 @@
 def slots(log, step):
     """Return how many more tasks of the step of `JOB` fit into its pool."""
     table = log.table
-    carried = table.run_counts_by_step.get((JOB, 0, 0), {})
+    runs = table.run_counts_by_step.get((JOB, 0, 0), {})
     total = 0
     for minion in table.minion_by_id.values():
         if step.required_label and step.required_label not in minion.labels:
             continue
-        here = slots_on(step, minion, table.usage_by_minion[minion.id])
+        fitting = slots_on(step, minion, table.usage_by_minion[minion.id])
         if step.max_per_minion:
-            here = min(here, step.max_per_minion - carried.get(minion.id, 0))
-        total += max(0, here)
+            fitting = min(fitting, step.max_per_minion - runs.get(minion.id, 0))
+        total += max(0, fitting)
     return total
 
 
--- a/tests/test_unread_entry.py
+++ b/tests/test_unread_entry.py
@@ -1,10 +1,11 @@
 """A committed entry, or a snapshot, that this version cannot read.
 
-This happens when the programs are upgraded one after the other: a replica of a later
-version leads and appends a command that the others do not know. Each of these failed
-at the entry eight times within 30 s and ended, as did each later start. Once all logs
-held the entry, that was every program of the earlier version. A snapshot sent by
-a later leader had the same effect, and could not even be read at the start.
+This happens during a rolling upgrade: a replica of a later version leads and appends
+a command that the replicas of the earlier version do not know. Each of these failed
+at the entry eight times within 30 s and ended, and each later start ended as well.
+Once all logs held the entry, no program of the earlier version ran. A snapshot sent
+by a leader of the later version had the same effect, and the next start could not
+read it.
 
 An entry with an unknown effect must not be skipped. The replica keeps what it stores
 and goes on voting, because the others need its vote. It neither leads nor answers
--- a/tests/test_upkeep.py
+++ b/tests/test_upkeep.py
@@ -24,7 +24,15 @@
 
 
 class Platform:
-    """Stub of the platform: takes VMs down, which return as new incarnations."""
+    """Stub of the platform: takes VMs down, which return as new incarnations.
+
+    `gone`
+        VMs that never go down: each order for them is answered with `BUSY`.
+    `listed`
+        VMs in the platform's list, or None if the list cannot be read.
+    `unread`
+        Number of unreadable rows in the list.
+    """
 
     def __init__(self, harness, *replies):
         self.harness = harness
@@ -176,8 +184,8 @@
         return all(wave.stage_by_vm.get(vm) is UpkeepStage.OVER for vm in others)
 
     assert wait_until(others_are_done, 20)
-    asked = len(platform.calls)
-    assert wait_until(lambda: len(platform.calls) > asked + 5, SECONDS)
+    calls_before = len(platform.calls)
+    assert wait_until(lambda: len(platform.calls) > calls_before + 5, SECONDS)
     assert not wave.is_done
 
 
