--- a/tests/test_replicas_that_cannot_lead.py
+++ b/tests/test_replicas_that_cannot_lead.py
@@ -21,6 +21,8 @@
 class UpgradeDriver(Driver):
     """Driver whose first replicas cannot apply commands that begin with `LATER`.
 
+    A replica that has applied such a command is told that it must not lead.
+
     `unable`
         Number of replicas of the earlier version.
     """
@@ -78,6 +80,7 @@
         ]
 
     def round(self):
+        """Give each replica about one tick, and deliver some messages."""
         for _ in range(SIZE):
             self.tick()
             self.finish_write()
--- a/tests/test_start_waits.py
+++ b/tests/test_start_waits.py
@@ -1,9 +1,9 @@
 """Tests that a start waits while an address, data folder or disk is unusable.
 
-Each of these temporary conditions used to end the program at its start: an address
-(also that of the metrics) that another process still uses, a data folder that the
-previous process still locks (`folder_locked`), and disk errors during the bootstrap
-at the first start.
+They guard against a program that ends at its start because of a temporary condition:
+an address (also that of the metrics) that another process still uses, a data folder
+that the previous process still locks (`folder_locked`), or a disk error during the
+bootstrap at the first start.
 """
 
 import errno
