--- a/tests/test_replicas_that_cannot_lead.py
+++ b/tests/test_replicas_that_cannot_lead.py
@@ -21,7 +21,7 @@
 class UpgradeDriver(Driver):
     """Driver whose first replicas cannot apply commands that begin with `LATER`.
 
-    A replica that has applied such a command is told that it must not lead.
+    When such a command is committed at one of them, its core gets `MayLead(False)`.
 
     `unable`
         Number of replicas of the earlier version.
