--- a/tests/test_install_in_a_batch.py
+++ b/tests/test_install_in_a_batch.py
@@ -19,7 +19,7 @@
 from hingepitch.control.storage import bootstrap_folder
 from hingepitch.model.codec import encode_envelope
 from hingepitch.model.command import Envelope, PutPool, Role
-from tests.lone_replica import make_replica
+from tests.single_replica import make_replica
 
 MEMBERS = tuple(
     Member(name, name, f"127.0.0.1:{at}", "h1")
--- a/tests/test_start_waits.py
+++ b/tests/test_start_waits.py
@@ -1,9 +1,9 @@
 """Tests that a start waits while an address, data folder or disk is unusable.
 
-Each of these temporary conditions used to end the program at its start: an address
-(also that of the metrics) that another process still uses, a data folder that the
-previous process still locks (`folder_locked`), and disk errors during the bootstrap
-at the first start.
+They guard against a program that ends at its start because of a temporary condition:
+an address (also that of the metrics) that another process still uses, a data folder
+that the previous process still locks (`folder_locked`), or a disk error during the
+bootstrap at the first start.
 """
 
 import errno
@@ -23,7 +23,7 @@
 from hingepitch.error import ExitCode, HingepitchError
 from hingepitch.httpd import HttpServer, wait_until
 from hingepitch.rpc import RpcServer
-from tests.lone_replica import make_replica
+from tests.single_replica import make_replica
 
 SECONDS = 5
 MEMBERS = (Member("c1", "c1", "127.0.0.1:1", "h1"),)
@@ -128,7 +128,7 @@
 
 @pytest.mark.parametrize("error", [RuntimeError("no thread"), OverflowError("x")])
 def test_nothing_is_written_after_a_failed_write(error):
-    """A write that fails for a reason other than the disk leaves a gap, too."""
+    """A failed write leaves a gap in the log, whatever the cause of the failure."""
 
     class Store:
         def __init__(self):
