--- a/tests/test_failure_figures.py
+++ b/tests/test_failure_figures.py
@@ -1,7 +1,7 @@
 """Metrics show the failing children of a program.
 
 Guards against a program whose failures no metric shows: a control program ended
-at each start, and only its exit code was known. `test_start_stays` checks the
+at each start, and only its exit code was known. `test_unusable_folder` checks the
 metrics of the data folder on a real program.
 """
 
--- a/tests/test_unusable_folder.py
+++ b/tests/test_unusable_folder.py
@@ -23,7 +23,7 @@
 from hingepitch.jobs.table import JobTable
 from standin.cluster import http_call, wait_for
 from standin.site import Site
-from tests.lone_replica import make_replica
+from tests.single_replica import make_replica
 
 SECONDS = 5
 MEMBERS = (Member("c1", "c1", "127.0.0.1:1", "h1"),)
