--- a/tests/test_site_power.py
+++ b/tests/test_site_power.py
@@ -97,7 +97,7 @@
     def finish_and_check(self):
         for client in self.clients:
             client.stop()
-        self.caller.finish(time.monotonic() + FINISH_SECONDS)
+        self.caller.wait_for_jobs(time.monotonic() + FINISH_SECONDS)
         check_tasks(self.record, self.site, self.caller.jobs)
         check_processes(self.record, self.site)
         check_logs(self.record, self.site)
