--- a/hingepitch/jobs/arrival.py
+++ b/hingepitch/jobs/arrival.py
@@ -13,14 +13,14 @@
 
 __all__ = ["ArrivalRate", "work_core_ms"]
 
-#: Sliding window over which arrivals are counted, in seconds. Source: a VM takes
-#: 1.6 s to move, and jobs are late after waiting 1.2 to 1.5 s; a longer window
-#: would detect a burst too late.
+#: Sliding window over which arrivals are counted, in seconds. A VM takes 1.6 s to
+#: move, and jobs are late after waiting 1.2 to 1.5 s; a longer window would detect a
+#: burst too late.
 WINDOW_SECONDS = 0.5
 
-#: Number of standard errors subtracted from the number of arrivals. Source: an
-#: unneeded VM costs about 2 VM-seconds, a late job as much as the work of several
-#: jobs; with 1.0, VMs were ordered one arrival later.
+#: Number of standard errors subtracted from the number of arrivals. An unneeded VM
+#: costs about 2 VM-seconds, a late job as much as the work of several jobs. With
+#: 1.0, VMs would be ordered one arrival later.
 SUBTRACTED_ERRORS = 0.5
 
 
--- a/hingepitch/jobs/demand.py
+++ b/hingepitch/jobs/demand.py
@@ -21,13 +21,13 @@
 STARVING_SECONDS = 0.4
 
 #: A leader moves no idle VMs to spare pools for this time after the first work
-#: that it sees, in seconds: until then it does not know the demand. Source: a
-#: burst shows its full size within the duration of its longest jobs, about 2 s.
+#: that it sees, in seconds: until then it does not know the demand. A burst shows
+#: its full size within the duration of its longest jobs, about 2 s.
 LEARNING_SECONDS = 2.0
 
 #: A pool wants as many minions as at its peak within this time, in seconds.
-#: Source: with 2 s, pools stayed at twice the size that they used, for seconds
-#: after each burst.
+#: With 2 s, pools would stay at twice the size that they use, for seconds after
+#: each burst.
 PEAK_SECONDS = 0.5
 
 
--- a/hingepitch/jobs/due.py
+++ b/hingepitch/jobs/due.py
@@ -15,8 +15,8 @@
 __all__ = ["due_ms", "is_late"]
 
 #: Margin, in standard errors above the expected run times, for classifying a round
-#: as late: four out of five rounds classified as late are so. Source: without a
-#: margin, jobs that could be on time waited 8 s behind others.
+#: as late: four out of five rounds classified as late are so. Without a margin,
+#: jobs that could be on time would wait 8 s behind others.
 LATE_STANDARD_ERRORS = 0.84
 
 
--- a/hingepitch/jobs/duration.py
+++ b/hingepitch/jobs/duration.py
@@ -16,12 +16,12 @@
 __all__ = ["Durations", "Fit"]
 
 #: Number of observed steps of a queue from which on its estimates are corrected.
-#: Source: the error of a mean of eight is a third of the standard deviation.
+#: The error of a mean of eight is a third of the standard deviation.
 MIN_OBSERVED_STEPS = 8.0
 
 #: Factor by which each new step reduces the weight of earlier observations.
-#: Source: half of the weight lies in the last 70 steps, so the fit follows a
-#: change of the workload within some dozens of jobs.
+#: Half of the weight lies in the last 70 steps, so the fit follows a change of the
+#: workload within some dozens of jobs.
 DECAY_PER_STEP = 0.99
 
 
@@ -30,8 +30,8 @@
 WEIGHT_TOLERANCE = 1e-9
 
 #: Standard error of the logarithm of an estimate before enough steps were
-#: observed. Source: callers' estimates are off by a half to nine tenths; the
-#: lower value is used.
+#: observed. Callers' estimates are off by a half to nine tenths; this is the lower
+#: value.
 INITIAL_ERROR = 0.5
 
 
--- a/hingepitch/jobs/mover.py
+++ b/hingepitch/jobs/mover.py
@@ -27,12 +27,12 @@
 STEP_SECONDS = 0.1
 
 #: Jobs that arrive within this time are handled by one decision, in seconds.
-#: Source: measuring the pools of 144 minions takes 1.2 ms of a core.
+#: Measuring the pools of 144 minions takes 1.2 ms of a core.
 GATHER_SECONDS = 0.04
 
 #: Pause after a decision, as a multiple of its duration, so that decisions use
-#: at most a fifth of the CPU. Source: measuring pools with 999 waiting steps
-#: takes 13 ms; the delay is small against the 1.5 s that a move takes.
+#: at most a fifth of the CPU. Measuring pools with 999 waiting steps takes 13 ms;
+#: the delay is small against the 1.5 s that a move takes.
 DECISION_PAUSE_FACTOR = 4
 
 #: Timeout of a call to the platform, in seconds.
@@ -40,7 +40,7 @@
 
 #: After a call without an answer, only the same move is ordered for the VM for
 #: this time, in seconds: the platform may still carry out the first call.
-#: Source: the platform carries out such calls up to 12 s late.
+#: The platform carries out such calls up to 12 s late.
 UNKNOWN_OUTCOME_SECONDS = 15.0
 
 #: No other order for a VM for this time after the platform called it busy, in
--- a/hingepitch/jobs/pace.py
+++ b/hingepitch/jobs/pace.py
@@ -17,8 +17,8 @@
 
 #: Fractions of a serving task's target latency: from `STOP_PART` on, the fillers
 #: (tasks that use spare CPU time) on its minion are paused; below `SPEED_UP_PART`,
-#: they may work faster. Source: the tail latency is a rough estimate over half a
-#: second, so both keep a margin.
+#: they may work faster. The tail latency is a rough estimate over half a second, so
+#: both keep a margin.
 STOP_PART = 0.8
 SPEED_UP_PART = 0.5
 
--- a/hingepitch/jobs/permission.py
+++ b/hingepitch/jobs/permission.py
@@ -20,8 +20,8 @@
 
 __all__ = ["Permission", "PermissionController"]
 
-#: Limit of minions in one call. Source: the time granted to a job allows for one
-#: call about 30 minions per step.
+#: Limit of minions in one call. The time granted to a job allows for one call about
+#: 30 minions per step.
 MINIONS_IN_CALL = 30
 
 #: Timeout of a call to the adviser, in seconds.
@@ -32,8 +32,8 @@
 RETRY_SECONDS = 0.2
 
 #: The adviser is asked again about a denied minion after this time, in seconds.
-#: Source: the answer for a step does not change, but the adviser may not yet know
-#: a new minion incarnation.
+#: The answer for a step does not change, but the adviser may not yet know a new
+#: minion incarnation.
 DENIAL_RETRY_SECONDS = 5.0
 
 #: A permission that expires within this time, in seconds, is requested again: the
--- a/hingepitch/jobs/pool.py
+++ b/hingepitch/jobs/pool.py
@@ -24,15 +24,15 @@
     `late_part`
         Part of the waiting tasks of late jobs that counts as demand. Such jobs
         are worth little, so their tasks run one after another in the capacity
-        of the others. Source: with all of them counted, pools grew to three
-        times the size that they used after each burst.
+        of the others. With all of them counted, pools would grow to three times
+        the size that they use after each burst.
     `floor`
         Smallest number of minions of a pool with queues.
     `idle_seconds`
-        A VM that is idle for longer moves to a spare pool. Source: a move there
-        and back costs as much as keeping a VM for about 2.3 s, and an idle pool
-        mostly stays idle for longer. With 1.5 s, pools served 2 % more of the
-        work of the worst two seconds but cost 5 % more VM-seconds.
+        A VM that is idle for longer moves to a spare pool. A move there and back
+        costs as much as keeping a VM for about 2.3 s, and an idle pool mostly
+        stays idle for longer. With 1.5 s, pools would serve 2 % more of the work
+        of the worst two seconds but cost 5 % more VM-seconds.
     `lend_seconds`
         A VM that is idle for longer may move to a pool that wants more VMs.
     """
--- a/hingepitch/jobs/rack.py
+++ b/hingepitch/jobs/rack.py
@@ -13,9 +13,9 @@
 
 __all__ = ["minions_for_one_rack", "slots_on"]
 
-#: Longest wait for a rack, in milliseconds, whatever time it would save. Source:
-#: an accepted job must start within 3 s where there is free capacity, and
-#: the planning pass and the order need part of that.
+#: Longest wait for a rack, in milliseconds, whatever time it would save. An accepted
+#: job must start within 3 s where there is free capacity, and the planning pass and
+#: the order need part of that.
 MAX_WAIT_MS = 2000
 
 
--- a/hingepitch/jobs/upkeep.py
+++ b/hingepitch/jobs/upkeep.py
@@ -33,23 +33,23 @@
 LIST_LAG_SECONDS = 1.0
 
 #: A VM that the platform calls busy but has not listed for this time is gone,
-#: in seconds. Source: two reads of the list, so that a list that changes between
-#: its pages does not end a maintenance that is still due.
+#: in seconds. The time covers two reads of the list, so that a list that changes
+#: between its pages does not end a maintenance that is still due.
 GONE_SECONDS = 2.0
 
 #: Time that a VM takes beyond the maintenance itself, in seconds: its last runs
-#: stop, two commands are committed, and the new incarnation reports. Source:
-#: with 272 VMs, the median is 1.2 s and the 80th percentile 2.8 s.
+#: stop, two commands are committed, and the new incarnation reports. With 272 VMs,
+#: the median is 1.2 s and the 80th percentile 2.8 s.
 TURNAROUND_SECONDS = 1.2
 
 #: A minion incarnation that is first known later than this part of the maintenance
-#: time after the order is the one that followed the maintenance. Source: new
-#: incarnations are known 2.0 s after the order of a maintenance of 2 s; the margin
-#: covers the delay of the answer to the order.
+#: time after the order is the one that followed the maintenance. New incarnations
+#: are known 2.0 s after the order of a maintenance of 2 s; the margin covers the
+#: delay of the answer to the order.
 NEW_INCARNATION_PART = 0.9
 
 #: Part of the remaining time in which a wave is to end while tasks wait for VMs.
-#: Source: the rest covers a change of leader (2 s) and VMs that are slow to drain.
+#: The rest covers a change of leader (2 s) and VMs that are slow to drain.
 DEADLINE_PART = 0.7
 
 
