--- a/hingepitch/jobs/permission.py
+++ b/hingepitch/jobs/permission.py
@@ -20,8 +20,8 @@
 
 __all__ = ["Permission", "PermissionController"]
 
-#: Limit of minions in one call. The time granted to a job allows for one call about
-#: 30 minions per step.
+#: Limit of minions in one call. The time granted to a job allows for one call per
+#: step, on 30 minions.
 MINIONS_IN_CALL = 30
 
 #: Timeout of a call to the adviser, in seconds.
--- a/tests/test_site_power.py
+++ b/tests/test_site_power.py
@@ -21,8 +21,7 @@
 #: of 8 KB, and one change in seven is tens of kilobytes.
 CHANGES_BETWEEN_LOSSES = 200
 
-#: Longest time until calls are served again, in seconds. Source: the users'
-#: `recovery_s`.
+#: Longest time until calls are served again, in seconds: the users' `recovery_s`.
 RECOVERY_SECONDS = 12
 FINISH_SECONDS = 40
 
